--- a/crates/limehollow-gateway/tests/rig/mod.rs
+++ b/crates/limehollow-gateway/tests/rig/mod.rs
@@ -7,7 +7,7 @@
 
 use limehollow::id::Offset;
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
-use limehollow::plan::{ModelVersion, Place, Plan};
+use limehollow::plan::{ModelVersion, AcceleratorRef, Plan};
 use limehollow::record::{
     Answer, AnswerKind, EndpointKind, EndpointSeen, LeaseTaken, Record, Resident,
 };
@@ -217,7 +217,7 @@
         .await;
         let name = format!("engine-{n}");
         let resident = Resident {
-            place: Place {
+            place: AcceleratorRef {
                 endpoint: name.as_str().into(),
                 accelerator: 0,
             },
--- a/crates/limehollow-wire/src/engine.rs
+++ b/crates/limehollow-wire/src/engine.rs
@@ -4,7 +4,7 @@
 use limehollow::listing::Look;
 use limehollow::load::LoadReport;
 use limehollow::order::Order;
-use limehollow::plan::{Action, ModelVersion, Place};
+use limehollow::plan::{Action, ModelVersion, AcceleratorRef};
 use limehollow::record::{EndpointKind, Resident};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -100,7 +100,7 @@
             },
         };
         for (accelerator, a) in (0_u16..).zip(self.accelerators) {
-            let place = Place {
+            let place = AcceleratorRef {
                 endpoint: endpoint.clone(),
                 accelerator,
             };
--- a/crates/limehollow-wire/src/record.rs
+++ b/crates/limehollow-wire/src/record.rs
@@ -4,7 +4,7 @@
 use limehollow::fleet::Fleet;
 use limehollow::id::{Incarnation, ModelName, Offset, OperatorName, VmName, ZoneName};
 use limehollow::intent::{Intent, IntentChange, ModelIntent, Weights};
-use limehollow::plan::{Action, ModelVersion, Place, Plan, Step, Target};
+use limehollow::plan::{Action, ModelVersion, AcceleratorRef, Plan, Step, Target};
 use limehollow::record as core;
 use limehollow::record::{
     AnswerKind, Cause, Content, Departure, EndpointKind, Evidence, Outcome, Record, Resident,
@@ -120,7 +120,7 @@
         zone: ZoneName,
         epoch: Offset,
         incarnation: Incarnation,
-        place: Place,
+        place: AcceleratorRef,
         action: Action,
         model: ModelVersion,
         bytes: u64,
@@ -140,7 +140,7 @@
     WireReplicaLost of core::ReplicaLost {
         zone: ZoneName,
         epoch: Offset,
-        place: Place,
+        place: AcceleratorRef,
         model: ModelVersion,
     }
 }
--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::error::UnknownSnafu;
 use crate::id::{AcceleratorIndex, Incarnation, LogTime, ModelName, Offset, VmName, ZoneName};
 use crate::intent::{Intent, ModelIntent};
-use crate::plan::{Action, ModelVersion, Place, Plan, Target};
+use crate::plan::{Action, ModelVersion, AcceleratorRef, Plan, Target};
 use crate::record::{AnswerKind, Cause, EndpointKind, Evidence, Outcome};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -168,7 +168,7 @@
     /// The holder that may send it, and its incarnation.
     pub sender: (VmName, Incarnation),
     /// Where.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// What.
     pub action: Action,
     /// To which model.
@@ -387,10 +387,10 @@
     }
 
     /// Gives the places of the replicas of one model that requests may go to.
-    pub fn ready<'a>(&'a self, model: &'a str) -> impl Iterator<Item = Place> + 'a {
+    pub fn ready<'a>(&'a self, model: &'a str) -> impl Iterator<Item = AcceleratorRef> + 'a {
         self.routable()
             .filter(move |(_, _, m)| m.name.as_str() == model)
-            .map(|(name, i, _)| Place {
+            .map(|(name, i, _)| AcceleratorRef {
                 endpoint: name.clone(),
                 accelerator: i,
             })
@@ -403,13 +403,13 @@
 
     /// Gives a replica.
     #[must_use]
-    pub fn replica(&self, place: &Place, model: &ModelVersion) -> Option<&Replica> {
+    pub fn replica(&self, place: &AcceleratorRef, model: &ModelVersion) -> Option<&Replica> {
         self.accelerator(place)?.replicas.get(model)
     }
 
     /// Gives an accelerator.
     #[must_use]
-    pub fn accelerator(&self, place: &Place) -> Option<&Accelerator> {
+    pub fn accelerator(&self, place: &AcceleratorRef) -> Option<&Accelerator> {
         self.endpoints
             .get(&place.endpoint)?
             .accelerators
@@ -478,7 +478,7 @@
     .build()
 }
 
-fn unknown_place(place: &Place) -> crate::Error {
+fn unknown_place(place: &AcceleratorRef) -> crate::Error {
     unknown(
         "accelerator",
         &format!("{}/{}", place.endpoint, place.accelerator),
--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -8,7 +8,7 @@
 };
 use crate::id::{LogTime, Offset, ZoneName};
 use crate::intent::ModelIntent;
-use crate::plan::{Action, ModelVersion, Place};
+use crate::plan::{Action, ModelVersion, AcceleratorRef};
 use crate::record::OrderIssued;
 use std::collections::BTreeMap;
 
@@ -85,7 +85,7 @@
 
     /// Gives the bytes of models that aren't counted any more, but that a second copy of an earlier
     /// load may still bring back.
-    fn may_come_back(&self, at: LogTime, place: &Place, acc: &Accelerator) -> u64 {
+    fn may_come_back(&self, at: LogTime, place: &AcceleratorRef, acc: &Accelerator) -> u64 {
         let checks = self
             .endpoint(place.endpoint.as_str())
             .is_some_and(Endpoint::checks_fencing);
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -11,7 +11,7 @@
 };
 use crate::id::{LogTime, ModelName, Offset, VmName, ZoneName};
 use crate::intent::{Intent, IntentChange};
-use crate::plan::{Action, ModelVersion, Place, Plan, Target};
+use crate::plan::{Action, ModelVersion, AcceleratorRef, Plan, Target};
 use crate::record::{
     Answer, AnswerKind, Departure, EndpointKind, EndpointLeft, EndpointSeen, Evidence, LeaseTaken,
     OrderIssued, OrderSettled, Outcome, PlanRefused, Record, ReplicaFound, ReplicaLost, Resident,
@@ -524,7 +524,7 @@
         }
     }
 
-    fn accelerator_mut(&mut self, place: &Place) -> Option<&mut Accelerator> {
+    fn accelerator_mut(&mut self, place: &AcceleratorRef) -> Option<&mut Accelerator> {
         let e = self.endpoints.get_mut(&place.endpoint)?;
         e.accelerators.get_mut(usize::from(place.accelerator))
     }
--- a/crates/limehollow/src/listing.rs
+++ b/crates/limehollow/src/listing.rs
@@ -2,7 +2,7 @@
 
 use crate::id::{Incarnation, ModelName, ServiceName, VmName, ZoneName};
 use crate::load::LoadReport;
-use crate::plan::{ModelVersion, Place};
+use crate::plan::{ModelVersion, AcceleratorRef};
 use crate::record::{EndpointKind, Resident};
 use smol_str::SmolStr;
 use tokio::time::Instant;
@@ -51,7 +51,7 @@
     /// The models that are loaded.
     pub residents: Vec<Resident>,
     /// The models that are being loaded or unloaded.
-    pub changing: Vec<(Place, ModelVersion)>,
+    pub changing: Vec<(AcceleratorRef, ModelVersion)>,
     /// How many requests each model has, running or waiting.
     pub running: Vec<(ModelName, u32)>,
     /// The load of the whole endpoint.
@@ -61,7 +61,7 @@
 impl Look {
     /// Tells whether a model is loaded at a place.
     #[must_use]
-    pub fn has(&self, place: &Place, model: &ModelVersion) -> bool {
+    pub fn has(&self, place: &AcceleratorRef, model: &ModelVersion) -> bool {
         self.residents
             .iter()
             .any(|r| r.place == *place && r.model == *model)
@@ -69,7 +69,7 @@
 
     /// Tells whether a model is being loaded or unloaded at a place.
     #[must_use]
-    pub fn is_changing(&self, place: &Place, model: &ModelVersion) -> bool {
+    pub fn is_changing(&self, place: &AcceleratorRef, model: &ModelVersion) -> bool {
         self.changing.iter().any(|(p, m)| p == place && m == model)
     }
 }
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -14,7 +14,7 @@
 use crate::id::{Incarnation, LogTime, ModelName, Offset, VmName, ZoneName};
 use crate::listing::{Listed, ListedKind, Look};
 use crate::membership::Membership;
-use crate::plan::{Action, ModelVersion, Place};
+use crate::plan::{Action, ModelVersion, AcceleratorRef};
 use crate::record::Record;
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
@@ -96,7 +96,7 @@
     /// Where it goes.
     pub address: SmolStr,
     /// The place on the endpoint.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// What is to be done.
     pub action: Action,
     /// To which model.
@@ -138,9 +138,9 @@
     /// The number that this incarnation was fenced with, and when it agreed.
     fenced: Option<(Incarnation, Offset, Instant)>,
     /// When a ready replica was first missed, by place and model.
-    missed: BTreeMap<(Place, ModelVersion), Instant>,
+    missed: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
     /// When a model that the log doesn't know was first seen, by place and model.
-    strays: BTreeMap<(Place, ModelVersion), Instant>,
+    strays: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
 }
 
 /// Drives one zone while this process holds its lease.
--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -7,7 +7,7 @@
 use crate::listing::ListedKind;
 use crate::membership::rendezvous;
 use crate::placement;
-use crate::plan::{Action, ModelVersion, Place, Step};
+use crate::plan::{Action, ModelVersion, AcceleratorRef, Step};
 use crate::record::{Cause, OrderIssued, Outcome, PlanRefused, Record};
 use smol_str::ToSmolStr;
 use std::collections::HashSet;
@@ -176,7 +176,7 @@
     }
 
     /// Tells whether a place won't come back soon.
-    fn is_lost(&self, now: Instant, fleet: &Fleet, place: &Place) -> bool {
+    fn is_lost(&self, now: Instant, fleet: &Fleet, place: &AcceleratorRef) -> bool {
         let presence = fleet.endpoint(place.endpoint.as_str()).map(|e| e.presence);
         if presence == Some(Presence::Leaving) {
             return true;
@@ -228,7 +228,7 @@
 
     /// Tells whether a model would still be ready somewhere without one of its replicas. The log's rule
     /// counts endpoints that are off the platform's list too, so the holder is stricter than it.
-    fn stays_reachable(&self, fleet: &Fleet, without: &Place, model: &ModelVersion) -> bool {
+    fn stays_reachable(&self, fleet: &Fleet, without: &AcceleratorRef, model: &ModelVersion) -> bool {
         let intent = fleet.confirmed_intent().map(|p| &p.intent);
         if intent.is_none_or(|i| i.model(model.name.as_str()).is_none()) {
             return true;
@@ -244,7 +244,7 @@
     fn own_accelerators<'f>(
         &'f self,
         fleet: &'f Fleet,
-    ) -> impl Iterator<Item = (Place, &'f Accelerator)> {
+    ) -> impl Iterator<Item = (AcceleratorRef, &'f Accelerator)> {
         let zone = &self.zone;
         fleet
             .endpoints()
@@ -252,7 +252,7 @@
             .flat_map(|(vm, e)| (0_u16..).zip(&e.accelerators).map(move |a| (vm, a)))
             .map(|(vm, (accelerator, a))| {
                 (
-                    Place {
+                    AcceleratorRef {
                         endpoint: vm.clone(),
                         accelerator,
                     },
@@ -268,8 +268,8 @@
         model: &ModelVersion,
         bytes: u64,
         round: &Round<'_>,
-    ) -> Option<Place> {
-        let mut best: Option<(u64, Place)> = None;
+    ) -> Option<AcceleratorRef> {
+        let mut best: Option<(u64, AcceleratorRef)> = None;
         for (place, a) in self.own_accelerators(fleet) {
             let headroom = a.capacity - intent.budget(a.capacity);
             let has_it = a.replicas.keys().any(|m| m.name == model.name);
@@ -294,8 +294,8 @@
     /// Models and places with an earlier step that isn't done: later steps wait, so that the order
     /// that the plan proved is kept also when zones go at different speeds.
     blocked_models: HashSet<&'a ModelName>,
-    blocked_places: HashSet<&'a Place>,
-    unloads: HashSet<(&'a Place, &'a ModelVersion)>,
+    blocked_places: HashSet<&'a AcceleratorRef>,
+    unloads: HashSet<(&'a AcceleratorRef, &'a ModelVersion)>,
     orders: Vec<OrderIssued>,
 }
 
@@ -349,7 +349,7 @@
     }
 
     /// Considers a replica that stood before the plan, was to stay, and is missing now.
-    fn consider_target(&mut self, zone: &ZoneName, place: &'a Place, model: &'a ModelVersion) {
+    fn consider_target(&mut self, zone: &ZoneName, place: &'a AcceleratorRef, model: &'a ModelVersion) {
         let held =
             self.fleet.replica(place, model).is_some() || self.blocked_places.contains(place);
         if held || *zone != self.driver.zone || self.has_enough(&model.name) {
@@ -389,7 +389,7 @@
             .fleet
             .endpoints()
             .filter(|(_, e)| e.zone == self.driver.zone);
-        let targets: HashSet<(&Place, &ModelVersion)> = self
+        let targets: HashSet<(&AcceleratorRef, &ModelVersion)> = self
             .fleet
             .plan_in_force()
             .into_iter()
@@ -399,7 +399,7 @@
         let mut strays = Vec::new();
         for (vm, e) in mine {
             for (accelerator, a) in (0_u16..).zip(&e.accelerators) {
-                let place = Place {
+                let place = AcceleratorRef {
                     endpoint: vm.clone(),
                     accelerator,
                 };
@@ -441,7 +441,7 @@
         })
     }
 
-    fn would_admit(&self, place: &Place, action: Action, model: &ModelVersion, bytes: u64) -> bool {
+    fn would_admit(&self, place: &AcceleratorRef, action: Action, model: &ModelVersion, bytes: u64) -> bool {
         let planned_away = action == Action::Load && self.unloads.contains(&(place, model));
         let o = self.order(place.clone(), action, model.clone(), bytes, Cause::Repair);
         let busy = self.busy.contains(&place.endpoint);
@@ -450,7 +450,7 @@
 
     fn issue(
         &mut self,
-        place: Place,
+        place: AcceleratorRef,
         action: Action,
         model: ModelVersion,
         bytes: u64,
@@ -473,7 +473,7 @@
 
     fn order(
         &self,
-        place: Place,
+        place: AcceleratorRef,
         action: Action,
         model: ModelVersion,
         bytes: u64,
--- a/crates/limehollow/src/order/find.rs
+++ b/crates/limehollow/src/order/find.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, Presence, ReplicaState};
 use crate::id::{Offset, VmName};
 use crate::listing::{Listed, ListedKind};
-use crate::plan::Place;
+use crate::plan::AcceleratorRef;
 use crate::record::{
     Departure, EndpointKind, EndpointLeft, EndpointSeen, Record, ReplicaFound, ReplicaLost,
 };
@@ -158,7 +158,7 @@
             };
             let mut missed = BTreeMap::new();
             for (accelerator, a) in (0_u16..).zip(&e.accelerators) {
-                let place = Place {
+                let place = AcceleratorRef {
                     endpoint: vm.clone(),
                     accelerator,
                 };
--- a/crates/limehollow/src/placement.rs
+++ b/crates/limehollow/src/placement.rs
@@ -8,13 +8,13 @@
 use crate::fleet::{Fleet, Presence, ReplicaState};
 use crate::id::{ModelName, Offset, ZoneName};
 use crate::intent::{Intent, ModelIntent};
-use crate::plan::{Action, MemoryUse, ModelVersion, Place, Plan, Step, Target};
+use crate::plan::{Action, MemoryUse, ModelVersion, AcceleratorRef, Plan, Step, Target};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// An accelerator while a plan is made.
 #[derive(Clone, Debug)]
 struct Slot {
-    place: Place,
+    place: AcceleratorRef,
     zone: usize,
     /// Memory that models may take once the plan is carried out, in bytes.
     budget: u64,
@@ -111,13 +111,13 @@
 /// Gives the memory of each accelerator before, at the peak of, and after a plan.
 #[must_use]
 pub fn memory_use(fleet: &Fleet, plan: &Plan) -> Vec<MemoryUse> {
-    let mut rows: BTreeMap<Place, MemoryUse> = BTreeMap::new();
+    let mut rows: BTreeMap<AcceleratorRef, MemoryUse> = BTreeMap::new();
     for (name, e) in fleet
         .endpoints()
         .filter(|(_, e)| e.presence != Presence::Gone)
     {
         for (i, a) in (0_u16..).zip(&e.accelerators) {
-            let place = Place {
+            let place = AcceleratorRef {
                 endpoint: name.clone(),
                 accelerator: i,
             };
@@ -257,7 +257,7 @@
                 base: r.base.clone(),
             });
             slots.push(Slot {
-                place: Place {
+                place: AcceleratorRef {
                     endpoint: name.clone(),
                     accelerator: i,
                 },
--- a/crates/limehollow/src/plan.rs
+++ b/crates/limehollow/src/plan.rs
@@ -15,7 +15,7 @@
 
 /// One accelerator of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct AcceleratorRef {
     /// The endpoint.
     pub endpoint: VmName,
     /// The accelerator on it.
@@ -49,7 +49,7 @@
     /// The zone whose lease holder carries it out.
     pub zone: ZoneName,
     /// Where.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// What is done.
     pub action: Action,
     /// To which model.
@@ -64,7 +64,7 @@
     /// The zone of the endpoint.
     pub zone: ZoneName,
     /// Where.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// Which model.
     pub model: ModelVersion,
 }
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryUse {
     /// The accelerator.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// What it has.
     pub capacity: u64,
     /// What is reserved before the first step.
--- a/crates/limehollow/src/record.rs
+++ b/crates/limehollow/src/record.rs
@@ -5,7 +5,7 @@
 
 use crate::id::{Incarnation, LogTime, Offset, OperatorName, ServiceName, VmName, ZoneName};
 use crate::intent::{Intent, IntentChange};
-use crate::plan::{Action, ModelVersion, Place, Plan};
+use crate::plan::{Action, ModelVersion, AcceleratorRef, Plan};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
     /// The accelerator.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// The model.
     pub model: ModelVersion,
     /// Its memory, in bytes.
@@ -174,7 +174,7 @@
     /// The incarnation of the endpoint.
     pub incarnation: Incarnation,
     /// Where.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// What is to be done.
     pub action: Action,
     /// To which model.
@@ -234,7 +234,7 @@
     /// The lease under which it is said.
     pub epoch: Offset,
     /// Where it was.
-    pub place: Place,
+    pub place: AcceleratorRef,
     /// Which model.
     pub model: ModelVersion,
 }
--- a/crates/limehollow/tests/records/mod.rs
+++ b/crates/limehollow/tests/records/mod.rs
@@ -5,7 +5,7 @@
 use limehollow::fleet::{Effect, Fleet};
 use limehollow::id::{LogTime, Offset};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
-use limehollow::plan::{Action, ModelVersion, Place, Plan};
+use limehollow::plan::{Action, ModelVersion, AcceleratorRef, Plan};
 use limehollow::record::{
     Answer, AnswerKind, Cause, EndpointKind, EndpointSeen, Evidence, LeaseTaken, OrderIssued,
     OrderSettled, Outcome, Record, Resident,
@@ -163,8 +163,8 @@
     })
 }
 
-pub fn place(endpoint: &str) -> Place {
-    Place {
+pub fn place(endpoint: &str) -> AcceleratorRef {
+    AcceleratorRef {
         endpoint: endpoint.into(),
         accelerator: 0,
     }
--- a/crates/limehollow/tests/repairs.rs
+++ b/crates/limehollow/tests/repairs.rs
@@ -100,7 +100,7 @@
         "{:#?}",
         what_is_open(&w)
     );
-    let in_zone = |p: &limehollow::plan::Place| {
+    let in_zone = |p: &limehollow::plan::AcceleratorRef| {
         w.fleet()
             .endpoint(p.endpoint.as_str())
             .is_some_and(|x| x.zone.as_str() == zone)
--- a/crates/limehollow/tests/traffic/mod.rs
+++ b/crates/limehollow/tests/traffic/mod.rs
@@ -6,7 +6,7 @@
 use limehollow::fleet::Fleet;
 use limehollow::id::{EndpointKey, LogTime, Offset};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
-use limehollow::plan::{ModelVersion, Place, Plan};
+use limehollow::plan::{ModelVersion, AcceleratorRef, Plan};
 use limehollow::record::{
     Answer, AnswerKind, EndpointKind, EndpointSeen, LeaseTaken, Record, Resident,
 };
@@ -77,7 +77,7 @@
             }
         };
         let resident = Resident {
-            place: Place {
+            place: AcceleratorRef {
                 endpoint: (*name).into(),
                 accelerator: 0,
             },
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use limehollow::load::LoadReport;
 use limehollow::membership::{Liveness, Membership};
 use limehollow::order::{Command, Driver, Order, Rules, SendResult};
-use limehollow::plan::{Action, ModelVersion, Place};
+use limehollow::plan::{Action, ModelVersion, AcceleratorRef};
 use limehollow::record::{Answer, AnswerKind, Content, EndpointKind, Entry, Record, Resident};
 use limehollow::replay::Replay;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -127,7 +127,7 @@
                 *phase = Phase::Ready;
             }
         }
-        let place = Place {
+        let place = AcceleratorRef {
             endpoint: name.clone(),
             accelerator: 0,
         };
@@ -670,7 +670,7 @@
         }
     }
 
-    fn really_ready(&self, place: &Place, name: &ModelName) -> bool {
+    fn really_ready(&self, place: &AcceleratorRef, name: &ModelName) -> bool {
         self.engines.get(&place.endpoint).is_some_and(|e| {
             e.up && e
                 .models
