--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -16,7 +16,7 @@
 /// After how many records for each endpoint a new snapshot is due. A snapshot takes about as many
 /// bytes as this many records, so snapshots never make up more than half of the log
 /// (`docs/CAPACITY.md`).
-pub const RECORDS_AN_ENDPOINT: u64 = 5;
+pub const SNAPSHOT_RECORDS_PER_ENDPOINT: u64 = 5;
 
 /// The most records that a reader holds back while it waits for a snapshot.
 const MAX_HELD: usize = 65_536;
@@ -62,7 +62,7 @@
         let next = self.fleet.next_offset();
         let (covered, at) = self.last_snapshot.unwrap_or_default();
         let endpoints = self.fleet.endpoints().count() as u64;
-        let every = SNAPSHOT_EVERY.max(RECORDS_AN_ENDPOINT * endpoints);
+        let every = SNAPSHOT_EVERY.max(SNAPSHOT_RECORDS_PER_ENDPOINT * endpoints);
         let many = next.0.saturating_sub(covered.0) >= every;
         let some = next.0 > covered.0 + 1;
         let old = self.fleet.at().millis_since(at) > retention_ms / 3;
