--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -138,7 +138,7 @@
 
 /// An intent with its place in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Published {
+pub struct PublishedIntent {
     /// Its offset.
     pub offset: Offset,
     /// When it was published.
@@ -232,9 +232,9 @@
     /// The log's time of the last record.
     at: LogTime,
     /// The latest intent.
-    latest: Option<Published>,
+    latest: Option<PublishedIntent>,
     /// The intent whose plan was confirmed last.
-    confirmed: Option<Published>,
+    confirmed: Option<PublishedIntent>,
     /// The plan of the latest intent.
     proposed: Option<PlanState>,
     /// Why the latest intent has no plan.
@@ -291,13 +291,13 @@
 
     /// Gives the latest intent, confirmed or not.
     #[must_use]
-    pub fn latest_intent(&self) -> Option<&Published> {
+    pub fn latest_intent(&self) -> Option<&PublishedIntent> {
         self.latest.as_ref()
     }
 
     /// Gives the intent that is in force.
     #[must_use]
-    pub fn confirmed_intent(&self) -> Option<&Published> {
+    pub fn confirmed_intent(&self) -> Option<&PublishedIntent> {
         self.confirmed.as_ref()
     }
 
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Accelerator, DEFAULT_LONGEST_DELAY_MS, Effect, Endpoint, Fleet, HISTORY_LEN, Lease, OrderState,
-    PlanRefusal, PlanState, Presence, Published, Replica, ReplicaState, Settled,
+    PlanRefusal, PlanState, Presence, PublishedIntent, Replica, ReplicaState, Settled,
 };
 use super::{unknown, unknown_place};
 use crate::error::{
@@ -89,7 +89,7 @@
 
     fn apply_intent(&mut self, offset: Offset, at: LogTime, r: &Intent) -> Result<Effect> {
         r.check()?;
-        self.latest = Some(Published {
+        self.latest = Some(PublishedIntent {
             offset,
             at,
             intent: r.clone(),
