--- a/crates/limectl/src/session.rs
+++ b/crates/limectl/src/session.rs
@@ -52,7 +52,7 @@
         loop {
             let batch = read(&self.log, self.replay.next_to_read(), Duration::ZERO).await?;
             for e in batch.entries {
-                self.replay.feed(e);
+                self.replay.push_entry(e);
             }
             if self.replay.next_to_read() >= batch.end {
                 break;
@@ -85,7 +85,7 @@
                 let offset = e.offset;
                 let same = matches!(&e.content, Content::Record(r) if r == record);
                 let is_it = at.map_or(same && offset >= from, |a| a == offset);
-                let applied = self.replay.feed(e);
+                let applied = self.replay.push_entry(e);
                 if is_it {
                     let res = applied.into_iter().find(|(o, _)| *o == offset);
                     return match res {
@@ -121,7 +121,7 @@
             }
             let batch = read(&self.log, self.replay.next_to_read(), POLL).await?;
             for e in batch.entries {
-                self.replay.feed(e);
+                self.replay.push_entry(e);
             }
         }
     }
--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -188,7 +188,7 @@
         }
         for entry in batch.entries {
             self.metrics.records.inc();
-            let applied = self.replay.feed(entry);
+            let applied = self.replay.push_entry(entry);
             self.note(applied);
         }
         let next = self.replay.fleet().next_offset();
--- a/crates/limehollow-controller/tests/processes.rs
+++ b/crates/limehollow-controller/tests/processes.rs
@@ -166,7 +166,7 @@
             let from = self.replay.next_to_read();
             if let Ok(batch) = read(&self.log, from, Duration::from_millis(50)).await {
                 for e in batch.entries {
-                    self.replay.feed(e);
+                    self.replay.push_entry(e);
                 }
             }
             if let Some(t) = f(self.replay.fleet()) {
--- a/crates/limehollow-gateway/src/control.rs
+++ b/crates/limehollow-gateway/src/control.rs
@@ -148,7 +148,7 @@
         }
         let mut changed = false;
         for entry in batch.entries {
-            let applied = self.replay.feed(entry);
+            let applied = self.replay.push_entry(entry);
             changed |= applied
                 .iter()
                 .any(|(_, r)| matches!(r, Ok(e) if *e != Effect::Nothing));
--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -82,7 +82,7 @@
     }
 
     /// Takes the next entry of the log, and says what became of it and of those held back so far.
-    pub fn feed(&mut self, entry: Entry) -> Vec<Applied> {
+    pub fn push_entry(&mut self, entry: Entry) -> Vec<Applied> {
         if let Content::Snapshot { next, fleet } = &entry.content {
             self.last_snapshot = Some((*next, entry.at));
             let behind = entry.offset > self.fleet.next_offset() || self.has_gap();
@@ -103,7 +103,7 @@
             return Vec::new();
         }
         let held = std::mem::take(&mut self.held);
-        held.into_iter().flat_map(|e| self.feed(e)).collect()
+        held.into_iter().flat_map(|e| self.push_entry(e)).collect()
     }
 
     fn release(&mut self, last: Entry) -> Vec<Applied> {
--- a/crates/limehollow/tests/replay.rs
+++ b/crates/limehollow/tests/replay.rs
@@ -53,7 +53,7 @@
     I: IntoIterator<Item = &'e Entry>,
 {
     for e in entries {
-        r.feed(e.clone());
+        r.push_entry(e.clone());
     }
 }
 
@@ -108,9 +108,9 @@
 #[test]
 fn feed_unknown_record() {
     let mut r = Replay::default();
-    r.feed(entry(0, Content::Record(lease("vm-1", None))));
-    r.feed(entry(1, Content::Unknown));
-    r.feed(entry(2, Content::Record(lease("vm-2", Some(0)))));
+    r.push_entry(entry(0, Content::Record(lease("vm-1", None))));
+    r.push_entry(entry(1, Content::Unknown));
+    r.push_entry(entry(2, Content::Record(lease("vm-2", Some(0)))));
     assert_eq!(r.fleet().next_offset(), Offset(3));
     assert_eq!(r.fleet().void_and_unread(), (0, 1));
     assert_eq!(r.fleet().epoch(&"a".into()), Some(Offset(2)));
@@ -147,18 +147,18 @@
     // 500 records, or five for each endpoint of a large fleet.
     for (endpoints, every) in [(0, 500), (300, 1_500)] {
         let mut r = Replay::default();
-        r.feed(entry(0, Content::Record(lease("vm-1", None))));
+        r.push_entry(entry(0, Content::Record(lease("vm-1", None))));
         for n in 1..=endpoints {
-            r.feed(entry(
+            r.push_entry(entry(
                 n,
                 Content::Record(seen(&format!("e{n}"), true, 1, Vec::new())),
             ));
         }
         for n in endpoints + 1..every - 1 {
-            r.feed(entry(n, Content::Unknown));
+            r.push_entry(entry(n, Content::Unknown));
         }
         assert!(!r.snapshot_is_due(u64::MAX), "{endpoints} endpoints");
-        r.feed(entry(every - 1, Content::Unknown));
+        r.push_entry(entry(every - 1, Content::Unknown));
         assert!(r.snapshot_is_due(u64::MAX), "{endpoints} endpoints");
     }
 }
@@ -166,14 +166,14 @@
 #[test]
 fn snapshot_due_by_age() {
     let mut r = Replay::default();
-    r.feed(entry(0, Content::Record(lease("vm-1", None))));
-    r.feed(entry(1, Content::Record(lease("vm-2", Some(0)))));
+    r.push_entry(entry(0, Content::Record(lease("vm-1", None))));
+    r.push_entry(entry(1, Content::Record(lease("vm-2", Some(0)))));
     assert!(!r.snapshot_is_due(600));
-    r.feed(entry(9, Content::Unknown));
+    r.push_entry(entry(9, Content::Unknown));
     assert!(!r.snapshot_is_due(600), "not over a gap");
     let mut r = Replay::default();
     for i in 0..9 {
-        r.feed(entry(i, Content::Unknown));
+        r.push_entry(entry(i, Content::Unknown));
     }
     assert!(
         r.snapshot_is_due(600),
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -319,7 +319,7 @@
             content,
         };
         self.log.push(entry.clone());
-        let applied = self.truth.feed(entry);
+        let applied = self.truth.push_entry(entry);
         let res = applied
             .into_iter()
             .find(|(o, _)| *o == offset)
@@ -535,7 +535,7 @@
         let c = &mut self.controllers[i];
         let from = usize::try_from(c.replay.next_to_read().0).expect("small");
         for entry in &self.log[from.max(self.kept_from).min(self.log.len())..] {
-            c.replay.feed(entry.clone());
+            c.replay.push_entry(entry.clone());
         }
         c.must_read = false;
         let next = c.replay.fleet().next_offset();
