--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -217,7 +217,7 @@
         state: Option<(Offset, Box<limehollow::fleet::Fleet>)>,
     ) {
         let Some((next, fleet)) = state else { return };
-        let applied = self.replay.adopt_and_release(next, *fleet);
+        let applied = self.replay.install_snapshot_and_replay(next, *fleet);
         self.note(applied);
         // The state counts as complete only if no live peer is known to be further.
         let highest = self.gossip.members.highest_next(now);
--- a/crates/limehollow-gateway/src/control.rs
+++ b/crates/limehollow-gateway/src/control.rs
@@ -121,7 +121,7 @@
             }
             Event::News(news) => self.on_news(news),
             Event::State(next, fleet) => {
-                let applied = self.replay.adopt_and_release(next, *fleet);
+                let applied = self.replay.install_snapshot_and_replay(next, *fleet);
                 let moved = !applied.is_empty() || self.replay.fleet().next_offset() == next;
                 self.caught_up |= !self.replay.has_gap() && moved;
                 self.publish();
--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -98,7 +98,7 @@
     }
 
     /// Takes a snapshot from a peer, and applies what was held back beyond it.
-    pub fn adopt_and_release(&mut self, next: Offset, fleet: Fleet) -> Vec<Applied> {
+    pub fn install_snapshot_and_replay(&mut self, next: Offset, fleet: Fleet) -> Vec<Applied> {
         if !self.adopt(next, fleet) {
             return Vec::new();
         }
--- a/crates/limehollow/tests/replay.rs
+++ b/crates/limehollow/tests/replay.rs
@@ -122,7 +122,7 @@
     feed_all(&mut old, &log()[..4]);
     let mut r = full();
     let before = r.fleet().clone();
-    r.adopt_and_release(Offset(4), old.fleet().clone());
+    r.install_snapshot_and_replay(Offset(4), old.fleet().clone());
     assert_eq!(*r.fleet(), before);
 }
 
@@ -134,7 +134,7 @@
     let mut r = Replay::default();
     feed_all(&mut r, &log[9..]);
     assert!(r.has_gap());
-    r.adopt_and_release(Offset(10), peer.fleet().clone());
+    r.install_snapshot_and_replay(Offset(10), peer.fleet().clone());
     assert!(!r.has_gap());
     assert_eq!(
         r.fleet().epoch(&"a".into()),
