--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -73,7 +73,7 @@
     /// the state never goes backwards.
     ///
     /// Gives whether the state moved.
-    pub fn adopt(&mut self, next: Offset, fleet: Fleet) -> bool {
+    pub fn install_snapshot(&mut self, next: Offset, fleet: Fleet) -> bool {
         let ahead = next > self.fleet.next_offset() && fleet.next_offset() == next;
         if ahead {
             self.fleet = fleet;
@@ -86,7 +86,7 @@
         if let Content::Snapshot { next, fleet } = &entry.content {
             self.last_snapshot = Some((*next, entry.at));
             let behind = entry.offset > self.fleet.next_offset() || self.has_gap();
-            if behind && self.adopt(*next, (**fleet).clone()) {
+            if behind && self.install_snapshot(*next, (**fleet).clone()) {
                 return self.release(entry);
             }
         }
@@ -99,7 +99,7 @@
 
     /// Takes a snapshot from a peer, and applies what was held back beyond it.
     pub fn install_snapshot_and_replay(&mut self, next: Offset, fleet: Fleet) -> Vec<Applied> {
-        if !self.adopt(next, fleet) {
+        if !self.install_snapshot(next, fleet) {
             return Vec::new();
         }
         let held = std::mem::take(&mut self.held);
