--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// [`crate::Error::Backwards`] if the offset isn't after the one in force.
-    pub fn pass_over(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
+    pub fn skip_unreadable(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
         self.advance(offset, at)?;
         self.unread += 1;
         Ok(Effect::Nothing)
--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -134,7 +134,7 @@
         let res = match &e.content {
             Content::Record(r) => self.fleet.apply(e.offset, e.at, r),
             Content::Snapshot { .. } => self.fleet.step_over(e.offset, e.at),
-            Content::Unknown => self.fleet.pass_over(e.offset, e.at),
+            Content::Unknown => self.fleet.skip_unreadable(e.offset, e.at),
         };
         Some((e.offset, res))
     }
