--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// [`crate::Error::Backwards`] if the offset isn't after the one in force.
-    pub fn step_over(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
+    pub fn skip_snapshot(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
         self.advance(offset, at)?;
         Ok(Effect::Nothing)
     }
--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -133,7 +133,7 @@
         }
         let res = match &e.content {
             Content::Record(r) => self.fleet.apply(e.offset, e.at, r),
-            Content::Snapshot { .. } => self.fleet.step_over(e.offset, e.at),
+            Content::Snapshot { .. } => self.fleet.skip_snapshot(e.offset, e.at),
             Content::Unknown => self.fleet.skip_unreadable(e.offset, e.at),
         };
         Some((e.offset, res))
