--- a/crates/limehollow-controller/src/settings.rs
+++ b/crates/limehollow-controller/src/settings.rs
@@ -63,7 +63,7 @@
             dead_after_ms: ms(r.dead_after),
             repair_after_ms: ms(r.repair_after),
             plan_patience_ms: ms(r.plan_patience),
-            look_every_ms: ms(r.look_every),
+            look_every_ms: ms(r.poll_interval),
             max_loads: r.max_loads as u64,
             lease_ttl_ms: ms(limehollow::lease::DEFAULT_TTL),
         }
@@ -78,7 +78,7 @@
             dead_after: Duration::from_millis(s.dead_after_ms),
             repair_after: Duration::from_millis(s.repair_after_ms),
             plan_patience: Duration::from_millis(s.plan_patience_ms),
-            look_every: Duration::from_millis(s.look_every_ms),
+            poll_interval: Duration::from_millis(s.look_every_ms),
             max_loads: usize::try_from(s.max_loads).unwrap_or(usize::MAX),
             ..Self::default()
         }
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -42,7 +42,7 @@
     /// Within what time gateways stop sending to a replica that the log withdraws.
     pub withdraw_within: Duration,
     /// How often each endpoint is looked at.
-    pub look_every: Duration,
+    pub poll_interval: Duration,
     /// How many loads the zone has under way at once.
     pub max_loads: usize,
 }
@@ -57,7 +57,7 @@
             repair_after: Duration::from_secs(30),
             plan_patience: Duration::from_secs(5),
             withdraw_within: Duration::from_secs(3),
-            look_every: Duration::from_secs(1),
+            poll_interval: Duration::from_secs(1),
             max_loads: 4,
         }
     }
--- a/crates/limehollow/src/order/find.rs
+++ b/crates/limehollow/src/order/find.rs
@@ -24,9 +24,9 @@
                 .endpoint(vm.as_str())
                 .is_some_and(|e| e.pending.is_some());
             let every = if busy {
-                self.rules.look_every / 2
+                self.rules.poll_interval / 2
             } else {
-                self.rules.look_every
+                self.rules.poll_interval
             };
             let w = self.watches.entry(vm.clone()).or_default();
             if w.looking || w.next_look.is_some_and(|t| now < t) {
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -31,7 +31,7 @@
         dead_after: Duration::from_secs(5),
         repair_after: Duration::from_secs(10),
         plan_patience: Duration::from_secs(2),
-        look_every: Duration::from_millis(400),
+        poll_interval: Duration::from_millis(400),
         ..Rules::default()
     }
 }
