--- a/crates/limehollow-controller/src/settings.rs
+++ b/crates/limehollow-controller/src/settings.rs
@@ -59,7 +59,7 @@
         let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
         Self {
             report_lag_ms: ms(r.report_lag),
-            effect_patience_ms: ms(r.effect_patience),
+            effect_patience_ms: ms(r.effect_timeout),
             dead_after_ms: ms(r.dead_after),
             repair_after_ms: ms(r.repair_after),
             plan_patience_ms: ms(r.plan_patience),
@@ -74,7 +74,7 @@
     fn from(s: RuleSettings) -> Self {
         Self {
             report_lag: Duration::from_millis(s.report_lag_ms),
-            effect_patience: Duration::from_millis(s.effect_patience_ms),
+            effect_timeout: Duration::from_millis(s.effect_patience_ms),
             dead_after: Duration::from_millis(s.dead_after_ms),
             repair_after: Duration::from_millis(s.repair_after_ms),
             plan_patience: Duration::from_millis(s.plan_patience_ms),
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -32,7 +32,7 @@
     /// The longest time that an order may still arrive after it was written down.
     pub longest_delay: Duration,
     /// How long an accepted order may show no effect before its outcome counts as in doubt.
-    pub effect_patience: Duration,
+    pub effect_timeout: Duration,
     /// How long an endpoint may fail to answer before it counts as gone.
     pub dead_after: Duration,
     /// How long a lost replica is waited for before another accelerator takes its place.
@@ -52,7 +52,7 @@
         Self {
             report_lag: Duration::from_secs(2),
             longest_delay: Duration::from_millis(crate::fleet::DEFAULT_LONGEST_DELAY_MS),
-            effect_patience: Duration::from_secs(30),
+            effect_timeout: Duration::from_secs(30),
             dead_after: Duration::from_secs(10),
             repair_after: Duration::from_secs(30),
             plan_patience: Duration::from_secs(5),
--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -112,7 +112,7 @@
             if !changing && l.has(&o.place, &o.model) == (o.action == Action::Load) {
                 return Some((Outcome::Done, Evidence::EffectSeen));
             }
-            if changing || now < began + self.rules.effect_patience {
+            if changing || now < began + self.rules.effect_timeout {
                 return None;
             }
         }
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -27,7 +27,7 @@
 pub fn rules() -> Rules {
     Rules {
         report_lag: LAG,
-        effect_patience: Duration::from_secs(10),
+        effect_timeout: Duration::from_secs(10),
         dead_after: Duration::from_secs(5),
         repair_after: Duration::from_secs(10),
         plan_patience: Duration::from_secs(2),
