--- a/crates/limehollow-controller/src/settings.rs
+++ b/crates/limehollow-controller/src/settings.rs
@@ -62,7 +62,7 @@
             effect_patience_ms: ms(r.effect_timeout),
             dead_after_ms: ms(r.dead_after),
             repair_after_ms: ms(r.repair_after),
-            plan_patience_ms: ms(r.plan_patience),
+            plan_patience_ms: ms(r.plan_timeout),
             look_every_ms: ms(r.poll_interval),
             max_loads: r.max_loads as u64,
             lease_ttl_ms: ms(limehollow::lease::DEFAULT_TTL),
@@ -77,7 +77,7 @@
             effect_timeout: Duration::from_millis(s.effect_patience_ms),
             dead_after: Duration::from_millis(s.dead_after_ms),
             repair_after: Duration::from_millis(s.repair_after_ms),
-            plan_patience: Duration::from_millis(s.plan_patience_ms),
+            plan_timeout: Duration::from_millis(s.plan_patience_ms),
             poll_interval: Duration::from_millis(s.look_every_ms),
             max_loads: usize::try_from(s.max_loads).unwrap_or(usize::MAX),
             ..Self::default()
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -38,7 +38,7 @@
     /// How long a lost replica is waited for before another accelerator takes its place.
     pub repair_after: Duration,
     /// How long a plan waits for endpoints that are listed but weren't seen yet.
-    pub plan_patience: Duration,
+    pub plan_timeout: Duration,
     /// Within what time gateways stop sending to a replica that the log withdraws.
     pub withdraw_within: Duration,
     /// How often each endpoint is looked at.
@@ -55,7 +55,7 @@
             effect_timeout: Duration::from_secs(30),
             dead_after: Duration::from_secs(10),
             repair_after: Duration::from_secs(30),
-            plan_patience: Duration::from_secs(5),
+            plan_timeout: Duration::from_secs(5),
             withdraw_within: Duration::from_secs(3),
             poll_interval: Duration::from_secs(1),
             max_loads: 4,
--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -31,9 +31,9 @@
         };
         // The holders of several zones wait for each other, the first in order of zones not at all.
         let rank = fleet.leases().take_while(|(z, _)| **z != self.zone).count();
-        let turn = since + self.rules.plan_patience / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
+        let turn = since + self.rules.plan_timeout / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
         let complete = self.all_listed_are_seen(fleet);
-        if now < turn || !complete && now < turn + self.rules.plan_patience {
+        if now < turn || !complete && now < turn + self.rules.plan_timeout {
             return;
         }
         let record = match placement::plan(fleet, latest.offset, &latest.intent) {
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -30,7 +30,7 @@
         effect_timeout: Duration::from_secs(10),
         dead_after: Duration::from_secs(5),
         repair_after: Duration::from_secs(10),
-        plan_patience: Duration::from_secs(2),
+        plan_timeout: Duration::from_secs(2),
         poll_interval: Duration::from_millis(400),
         ..Rules::default()
     }
