--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -40,7 +40,7 @@
     /// How long a plan waits for endpoints that are listed but weren't seen yet.
     pub plan_timeout: Duration,
     /// Within what time gateways stop sending to a replica that the log withdraws.
-    pub withdraw_within: Duration,
+    pub withdrawal_delay: Duration,
     /// How often each endpoint is looked at.
     pub poll_interval: Duration,
     /// How many loads the zone has under way at once.
@@ -56,7 +56,7 @@
             dead_after: Duration::from_secs(10),
             repair_after: Duration::from_secs(30),
             plan_timeout: Duration::from_secs(5),
-            withdraw_within: Duration::from_secs(3),
+            withdrawal_delay: Duration::from_secs(3),
             poll_interval: Duration::from_secs(1),
             max_loads: 4,
         }
--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -55,7 +55,7 @@
     /// Tells whether a replica that is to be unloaded has no request any more: gateways have had the
     /// time to stop sending, and a look that began after that shows none.
     fn is_drained(&self, number: Offset, o: &OrderState) -> bool {
-        let since = self.first_seen[&number] + self.rules.withdraw_within;
+        let since = self.first_seen[&number] + self.rules.withdrawal_delay;
         let w = self
             .watches
             .get(&o.place.endpoint)
