--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -30,7 +30,7 @@
     /// By how much what an endpoint reports may be out of date.
     pub report_lag: Duration,
     /// The longest time that an order may still arrive after it was written down.
-    pub longest_delay: Duration,
+    pub max_order_delay: Duration,
     /// How long an accepted order may show no effect before its outcome counts as in doubt.
     pub effect_timeout: Duration,
     /// How long an endpoint may fail to answer before it counts as gone.
@@ -51,7 +51,7 @@
     fn default() -> Self {
         Self {
             report_lag: Duration::from_secs(2),
-            longest_delay: Duration::from_millis(crate::fleet::DEFAULT_LONGEST_DELAY_MS),
+            max_order_delay: Duration::from_millis(crate::fleet::DEFAULT_LONGEST_DELAY_MS),
             effect_timeout: Duration::from_secs(30),
             dead_after: Duration::from_secs(10),
             repair_after: Duration::from_secs(30),
--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -203,7 +203,7 @@
             self.released.entry(number).or_insert(ended.unwrap_or(now));
         }
         let since = self.released.get(&number);
-        since.is_some_and(|t| now >= *t + self.rules.longest_delay)
+        since.is_some_and(|t| now >= *t + self.rules.max_order_delay)
     }
 
     /// Tells whether the process that may send an order surely won't any more: it has another
