--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -19,7 +19,7 @@
 
 /// The longest time that an order can still arrive after it was written down, in milliseconds of
 /// the log's time, unless the fleet's rules say otherwise.
-pub const DEFAULT_LONGEST_DELAY_MS: u64 = 300_000;
+pub const DEFAULT_MAX_ORDER_DELAY_MS: u64 = 300_000;
 
 /// How many explanations of past orders are kept for `limectl explain`.
 const HISTORY_LEN: usize = 512;
@@ -205,7 +205,7 @@
         match s.evidence {
             Evidence::NeverSent | Evidence::DelayPassed | Evidence::Fenced => false,
             Evidence::Answered | Evidence::EffectSeen => {
-                at.millis_since(s.at) < DEFAULT_LONGEST_DELAY_MS
+                at.millis_since(s.at) < DEFAULT_MAX_ORDER_DELAY_MS
             }
         }
     }
--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -1,6 +1,6 @@
 //! Whether an order would be admitted: the promises about memory and reachability.
 
-use super::{Accelerator, DEFAULT_LONGEST_DELAY_MS, Endpoint, Fleet, Presence, ReplicaState};
+use super::{Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Endpoint, Fleet, Presence, ReplicaState};
 use super::{has_ready, unknown, unknown_place};
 use crate::error::{
     AdapterBaseSnafu, AlreadySoSnafu, LastReplicaSnafu, MayArriveLateSnafu, MemorySnafu,
@@ -74,7 +74,7 @@
             return Ok(());
         };
         let since = p.settled.as_ref().map_or(at, |s| s.at);
-        let wait_ms = DEFAULT_LONGEST_DELAY_MS.saturating_sub(at.millis_since(since));
+        let wait_ms = DEFAULT_MAX_ORDER_DELAY_MS.saturating_sub(at.millis_since(since));
         MayArriveLateSnafu {
             endpoint: o.place.endpoint.clone(),
             order: *order,
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -1,7 +1,7 @@
 //! How the records of the log change the fleet's state.
 
 use super::{
-    Accelerator, DEFAULT_LONGEST_DELAY_MS, Effect, Endpoint, Fleet, HISTORY_LEN, Lease, OrderState,
+    Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Effect, Endpoint, Fleet, HISTORY_LEN, Lease, OrderState,
     PlanRefusal, PlanState, Presence, PublishedIntent, Replica, ReplicaState, Settled,
 };
 use super::{unknown, unknown_place};
@@ -431,10 +431,10 @@
             return Ok(());
         };
         let waited = at.millis_since(o.at);
-        if r.evidence != Evidence::DelayPassed || waited >= DEFAULT_LONGEST_DELAY_MS {
+        if r.evidence != Evidence::DelayPassed || waited >= DEFAULT_MAX_ORDER_DELAY_MS {
             return Ok(());
         }
-        let wait_ms = DEFAULT_LONGEST_DELAY_MS - waited;
+        let wait_ms = DEFAULT_MAX_ORDER_DELAY_MS - waited;
         MayArriveLateSnafu {
             endpoint: o.place.endpoint.clone(),
             order: r.order,
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -51,7 +51,7 @@
     fn default() -> Self {
         Self {
             report_lag: Duration::from_secs(2),
-            max_order_delay: Duration::from_millis(crate::fleet::DEFAULT_LONGEST_DELAY_MS),
+            max_order_delay: Duration::from_millis(crate::fleet::DEFAULT_MAX_ORDER_DELAY_MS),
             effect_timeout: Duration::from_secs(30),
             dead_after: Duration::from_secs(10),
             repair_after: Duration::from_secs(30),
