--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -143,7 +143,7 @@
                 if let Some(l) = &look {
                     self.gossip.on_look(&vm, l);
                 }
-                self.driver.on_look(now, &vm, look);
+                self.driver.on_observation(now, &vm, look);
             }
             Event::Fenced(vm, number, agreed) => self.driver.on_fenced(now, &vm, number, agreed),
             Event::Sent(order, res) => self.driver.on_sent(now, order, res),
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -210,7 +210,7 @@
     }
 
     /// Takes in a look at an endpoint, or nothing if it did not answer.
-    pub fn on_look(&mut self, now: Instant, endpoint: &VmName, look: Option<Look>) {
+    pub fn on_observation(&mut self, now: Instant, endpoint: &VmName, look: Option<Look>) {
         let w = self.watches.entry(endpoint.clone()).or_default();
         w.looking = false;
         let says_new = match (&w.look, &look) {
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -608,7 +608,7 @@
             match call {
                 Command::Look { endpoint, .. } => {
                     let look = self.engines.get(&endpoint).and_then(|e| e.look(now));
-                    self.controllers[i].driver.on_look(now, &endpoint, look);
+                    self.controllers[i].driver.on_observation(now, &endpoint, look);
                 }
                 Command::Fence {
                     endpoint, number, ..
