--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -302,7 +302,7 @@
                 } => {
                     self.io.fence(endpoint, address.to_string(), number);
                 }
-                Command::Look { endpoint, address } => self.io.look(endpoint, address.to_string()),
+                Command::Poll { endpoint, address } => self.io.look(endpoint, address.to_string()),
             }
         }
         let mut texts: Vec<String> = records.iter().map(encode).collect();
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -79,8 +79,8 @@
         /// The number.
         number: Offset,
     },
-    /// Look at an endpoint.
-    Look {
+    /// Poll an endpoint for its state.
+    Poll {
         /// The endpoint.
         endpoint: VmName,
         /// Where it listens.
--- a/crates/limehollow/src/order/find.rs
+++ b/crates/limehollow/src/order/find.rs
@@ -34,7 +34,7 @@
             }
             w.looking = true;
             w.next_look = Some(now + every);
-            out.push(Command::Look {
+            out.push(Command::Poll {
                 endpoint: vm,
                 address,
             });
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -606,7 +606,7 @@
         let now = self.now;
         for call in std::mem::take(&mut self.controllers[i].calls) {
             match call {
-                Command::Look { endpoint, .. } => {
+                Command::Poll { endpoint, .. } => {
                     let look = self.engines.get(&endpoint).and_then(|e| e.look(now));
                     self.controllers[i].driver.on_observation(now, &endpoint, look);
                 }
