--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -146,7 +146,7 @@
                 self.driver.on_observation(now, &vm, look);
             }
             Event::Fenced(vm, number, agreed) => self.driver.on_fenced(now, &vm, number, agreed),
-            Event::Sent(order, res) => self.driver.on_sent(now, order, res),
+            Event::Sent(order, res) => self.driver.on_send_result(now, order, res),
             Event::Appended(Ok(last)) => {
                 // The log may have been read up to there before the answer came.
                 let read = self.replay.fleet().next_offset() > last;
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -260,7 +260,7 @@
     }
 
     /// Takes in how sending an order ended.
-    pub fn on_sent(&mut self, now: Instant, order: Offset, res: SendResult) {
+    pub fn on_send_result(&mut self, now: Instant, order: Offset, res: SendResult) {
         self.news = true;
         self.sent.insert(order, Sent::Ended(res, now));
     }
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -598,7 +598,7 @@
                 taken
             }
         };
-        self.controllers[i].driver.on_sent(now, number, res);
+        self.controllers[i].driver.on_send_result(now, number, res);
     }
 
     /// Answers the calls that a controller made at its last tick.
