--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -236,7 +236,7 @@
             }
             for (vm, model, rate, said) in self.gossip.unmet() {
                 self.driver
-                    .on_unmet(said, vm.clone(), model.as_str().into(), rate);
+                    .on_unmet_demand(said, vm.clone(), model.as_str().into(), rate);
             }
             self.ask_for_state();
         }
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -255,7 +255,7 @@
     }
 
     /// Takes in how many requests for a model a second a gateway of the zone had to refuse.
-    pub fn on_unmet(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
+    pub fn on_unmet_demand(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
         self.demand.hear(now, from, model, per_second);
     }
 
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -486,7 +486,7 @@
         }
         for (_, model, rate) in self.unmet.iter().filter(|(z, ..)| *z == zone) {
             let driver = &mut self.controllers[i].driver;
-            driver.on_unmet(now, "gateway".into(), model.clone(), *rate);
+            driver.on_unmet_demand(now, "gateway".into(), model.clone(), *rate);
         }
         let c = &mut self.controllers[i];
         if c.must_read || c.replay.has_gap() {
