--- a/crates/limehollow-controller/tests/processes.rs
+++ b/crates/limehollow-controller/tests/processes.rs
@@ -354,7 +354,7 @@
     .await;
     rig.controllers[i].signal("CONT");
     rig.carried_out().await;
-    let served = rig.replay.fleet().ready("m").count();
+    let served = rig.replay.fleet().ready_replicas("m").count();
     assert!(served > 0);
 }
 
--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -387,7 +387,7 @@
     }
 
     /// Gives the places of the replicas of one model that requests may go to.
-    pub fn ready<'a>(&'a self, model: &'a str) -> impl Iterator<Item = AcceleratorRef> + 'a {
+    pub fn ready_replicas<'a>(&'a self, model: &'a str) -> impl Iterator<Item = AcceleratorRef> + 'a {
         self.routable()
             .filter(move |(_, _, m)| m.name.as_str() == model)
             .map(|(name, i, _)| AcceleratorRef {
--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -172,7 +172,7 @@
 
     /// Tells whether another replica of the order's model is surely ready elsewhere.
     fn has_other_replica(&self, o: &OrderIssued) -> bool {
-        self.ready(o.model.name.as_str()).any(|p| p != o.place)
+        self.ready_replicas(o.model.name.as_str()).any(|p| p != o.place)
     }
 
     pub(super) fn confirmed_model(&self, model: &ModelVersion) -> Result<&ModelIntent> {
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -122,7 +122,7 @@
     w.run(secs(30));
     let in_b = |w: &World| {
         w.fleet()
-            .ready("m")
+            .ready_replicas("m")
             .filter(|p| p.endpoint.as_str().contains("-b"))
             .count()
     };
@@ -150,10 +150,10 @@
     let mut w = up(LANTERWIJK);
     w.unmet = vec![("a".into(), "m".into(), 3.0), ("b".into(), "m".into(), 3.0)];
     w.run(secs(400));
-    assert_eq!(w.fleet().ready("m").count(), 4, "one an accelerator");
+    assert_eq!(w.fleet().ready_replicas("m").count(), 4, "one an accelerator");
     w.unmet = vec![("a".into(), "n".into(), 3.0), ("b".into(), "n".into(), 3.0)];
     w.run(secs(1500));
-    let n = w.fleet().ready("n").count();
+    let n = w.fleet().ready_replicas("n").count();
     assert!(n >= 3, "n has {n}: {:#?}", what_is_open(&w));
-    assert!(w.fleet().ready("m").count() >= 1);
+    assert!(w.fleet().ready_replicas("m").count() >= 1);
 }
--- a/crates/limehollow/tests/events.rs
+++ b/crates/limehollow/tests/events.rs
@@ -114,7 +114,7 @@
             s.load("fenced", "m", 40);
             for bytes in input.iter().take(200) {
                 let r = record(&s, *bytes);
-                let ready_before = s.fleet.ready("m").count();
+                let ready_before = s.fleet.ready_replicas("m").count();
                 let next_before = s.fleet.next_offset();
                 let res = s.next(&r);
                 check_memory(&s.fleet);
@@ -122,7 +122,7 @@
                     s.fleet.next_offset() > next_before,
                     "the offset did not rise"
                 );
-                let ready = s.fleet.ready("m").count();
+                let ready = s.fleet.ready_replicas("m").count();
                 if res.is_err() {
                     assert_eq!(ready, ready_before, "a void record changed something");
                 }
@@ -170,7 +170,7 @@
                 let r = record(&s, *bytes);
                 let _void = s.next(&r);
                 for (name, _) in MODELS {
-                    for p in s.fleet.ready(name) {
+                    for p in s.fleet.ready_replicas(name) {
                         let e = s.fleet.endpoint(p.endpoint.as_str()).expect("it is known");
                         let replica = s
                             .fleet
--- a/crates/limehollow/tests/fleet.rs
+++ b/crates/limehollow/tests/fleet.rs
@@ -193,7 +193,7 @@
     s.ok(settled(o, Outcome::Done, Evidence::EffectSeen));
     let why = s.void(settled(o, Outcome::NotDone, Evidence::Answered));
     assert_eq!(why, format!("there is no unsettled order {o}"));
-    assert_eq!(s.fleet.ready("m").count(), 1);
+    assert_eq!(s.fleet.ready_replicas("m").count(), 1);
 }
 
 #[test]
@@ -202,14 +202,14 @@
     let mut s = Story::begin();
     let used = |s: &Story| s.fleet.accelerator(&place("open")).map(Accelerator::used);
     let load = s.ok(order("open", Load, "m", "1", 40));
-    assert_eq!((used(&s), s.fleet.ready("m").count()), (Some(40), 0));
+    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 0));
     s.ok(settled(load, Outcome::Done, Evidence::EffectSeen));
-    assert_eq!((used(&s), s.fleet.ready("m").count()), (Some(40), 1));
+    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 1));
     s.load("fenced", "m", 40);
     let unload = s.ok(order("open", Unload, "m", "1", 40));
-    assert_eq!((used(&s), s.fleet.ready("m").count()), (Some(40), 1));
+    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 1));
     s.ok(settled(unload, Outcome::NotDone, Evidence::NeverSent));
-    assert_eq!((used(&s), s.fleet.ready("m").count()), (Some(40), 2));
+    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 2));
 }
 
 #[test]
@@ -251,7 +251,7 @@
         };
         s.ok(Record::EndpointLeft(left));
         assert_eq!(s.fleet.endpoint("open").map(|e| e.presence), Some(presence));
-        assert_eq!(s.fleet.ready("m").count(), 0, "no new work");
+        assert_eq!(s.fleet.ready_replicas("m").count(), 0, "no new work");
         s.void(order("open", Load, "n", "1", 50));
     }
 }
@@ -267,7 +267,7 @@
         model: version("m", "1"),
     };
     s.ok(Record::ReplicaLost(lost.clone()));
-    assert_eq!(s.fleet.ready("m").count(), 0);
+    assert_eq!(s.fleet.ready_replicas("m").count(), 0);
     let why = s.void(Record::ReplicaLost(lost));
     assert_eq!(why, "there is no ready replica m");
     let resident = Resident {
@@ -281,7 +281,7 @@
         resident,
     };
     s.ok(Record::ReplicaFound(found));
-    assert_eq!(s.fleet.ready("m").count(), 1);
+    assert_eq!(s.fleet.ready_replicas("m").count(), 1);
 }
 
 #[test]
@@ -496,13 +496,13 @@
     s.load("open", "m", 40);
     s.confirm(intent(vec![model("m", "2", 40), model("n", "1", 50)]));
     assert_eq!(
-        s.fleet.ready("m").collect::<Vec<_>>(),
+        s.fleet.ready_replicas("m").collect::<Vec<_>>(),
         [place("open")],
         "until the new one is ready"
     );
     let o = s.ok(order("fenced", Load, "m", "2", 40));
     s.ok(settled(o, Outcome::Done, Evidence::EffectSeen));
-    assert_eq!(s.fleet.ready("m").collect::<Vec<_>>(), [place("fenced")]);
+    assert_eq!(s.fleet.ready_replicas("m").collect::<Vec<_>>(), [place("fenced")]);
     let lost = ReplicaLost {
         zone: "a".into(),
         epoch: Offset(0),
@@ -520,7 +520,7 @@
             bytes: 40,
         }],
     ));
-    assert_eq!(s.fleet.ready("m").count(), 0);
+    assert_eq!(s.fleet.ready_replicas("m").count(), 0);
 }
 
 #[test]
--- a/crates/limehollow/tests/orders_in_doubt.rs
+++ b/crates/limehollow/tests/orders_in_doubt.rs
@@ -127,7 +127,7 @@
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
     w.run(Duration::from_secs(290));
     assert_eq!(open_orders(&w), 1);
-    assert_eq!(w.fleet().ready("n").count(), 0);
+    assert_eq!(w.fleet().ready_replicas("n").count(), 0);
     settle(&mut w, 60);
     let how: Vec<_> = w
         .fleet()
@@ -262,7 +262,7 @@
         .filter(|e| e.models.contains_key(&version("m", "1")))
         .count();
     assert_eq!(held, 2, "a replica was unloaded while it had a request");
-    assert_eq!(w.fleet().ready("m").count(), 1, "it gets no new work");
+    assert_eq!(w.fleet().ready_replicas("m").count(), 1, "it gets no new work");
     for e in w.engines.values_mut() {
         e.running.clear();
     }
--- a/crates/limehollow/tests/repairs.rs
+++ b/crates/limehollow/tests/repairs.rs
@@ -24,7 +24,7 @@
 
 /// Gives an engine that holds a model, and its zone.
 fn holder_of(w: &World, name: &str) -> (VmName, String) {
-    let place = w.fleet().ready(name).next().expect("it is ready somewhere");
+    let place = w.fleet().ready_replicas(name).next().expect("it is ready somewhere");
     let zone = w
         .fleet()
         .endpoint(place.endpoint.as_str())
@@ -40,7 +40,7 @@
 }
 
 fn ready(w: &World, name: &str) -> usize {
-    w.fleet().ready(name).count()
+    w.fleet().ready_replicas(name).count()
 }
 
 #[test]
@@ -106,7 +106,7 @@
             .is_some_and(|x| x.zone.as_str() == zone)
     };
     assert!(
-        w.fleet().ready("m").any(|p| in_zone(&p)),
+        w.fleet().ready_replicas("m").any(|p| in_zone(&p)),
         "its own zone mends it"
     );
     assert_eq!(w.fleet().moves_done(), before + held);
@@ -128,7 +128,7 @@
     w.leaving.insert(e.clone());
     w.run(secs(4));
     assert!(
-        w.fleet().ready("m").all(|p| p.endpoint != e),
+        w.fleet().ready_replicas("m").all(|p| p.endpoint != e),
         "no new work after a few seconds"
     );
     w.run(secs(30));
@@ -159,7 +159,7 @@
     w.run(secs(120));
     let elsewhere = |name: &str| {
         w.fleet()
-            .ready(name)
+            .ready_replicas(name)
             .filter(|p| !lost.contains(&p.endpoint))
             .count()
     };
@@ -216,7 +216,7 @@
     w.confirm(intent(vec![model("m", "1", 20, 1), model("n", "1", 20, 2)]));
     w.run(secs(200));
     assert!(
-        w.fleet().ready("m").any(|p| !lost.contains(&p.endpoint)),
+        w.fleet().ready_replicas("m").any(|p| !lost.contains(&p.endpoint)),
         "{:#?}",
         what_is_open(&w)
     );
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -646,7 +646,7 @@
         for m in &self.must_reach {
             let reachable = self
                 .fleet()
-                .ready(m.as_str())
+                .ready_replicas(m.as_str())
                 .any(|p| self.really_ready(&p, m));
             assert!(reachable, "{at:?}: {m} is not reachable");
         }
