--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -109,7 +109,7 @@
         let Some(latest) = &self.latest else {
             return Err(unknown("intent", &r.replaces));
         };
-        let whole = latest.intent.with(r);
+        let whole = latest.intent.with_change(r);
         self.apply_intent(offset, at, &whole)
     }
 
--- a/crates/limehollow/src/intent.rs
+++ b/crates/limehollow/src/intent.rs
@@ -208,7 +208,7 @@
 
     /// Gives this intent with a change made to it.
     #[must_use]
-    pub fn with(&self, c: &IntentChange) -> Self {
+    pub fn with_change(&self, c: &IntentChange) -> Self {
         let set: BTreeMap<&ModelName, &ModelIntent> = c.set.iter().map(|m| (&m.name, m)).collect();
         let stays = |m: &&ModelIntent| !c.removed.contains(&m.name) && !set.contains_key(&m.name);
         let kept = self.models.iter().filter(stays);
--- a/crates/limehollow/tests/fleet.rs
+++ b/crates/limehollow/tests/fleet.rs
@@ -383,7 +383,7 @@
     let c = new.change_from(Offset(3), &old);
     let names: Vec<&str> = c.set.iter().map(|m| m.name.as_str()).collect();
     assert_eq!((names, c.removed.len()), (vec!["m", "p"], 1));
-    let mut models = old.with(&c).models;
+    let mut models = old.with_change(&c).models;
     models.sort_by(|a, b| a.name.cmp(&b.name));
     assert_eq!(models, new.models);
 }
