--- a/crates/limectl/src/show.rs
+++ b/crates/limectl/src/show.rs
@@ -88,7 +88,7 @@
     let open = fleet.orders().filter(|(_, o)| o.settled.is_none()).count();
     line(&mut s, &format!("moves done {}", fleet.moves_done()));
     line(&mut s, &format!("orders without a known outcome {open}"));
-    for (m, ready) in fleet.short_models() {
+    for (m, ready) in fleet.underreplicated_models() {
         line(
             &mut s,
             &format!(
--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -393,7 +393,7 @@
         let open = fleet.orders().filter(|(_, o)| o.settled.is_none()).count();
         m.open_orders.set(gauge(open as u64));
         m.short_models
-            .set(gauge(fleet.short_models().count() as u64));
+            .set(gauge(fleet.underreplicated_models().count() as u64));
     }
 
     fn dump(&mut self, now: Instant) -> serde_json::Value {
--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -418,7 +418,7 @@
 
     /// Gives the models of the confirmed intent that have fewer ready replicas than were asked for, in
     /// the version that was asked for, with how many they have.
-    pub fn short_models(&self) -> impl Iterator<Item = (&ModelIntent, usize)> {
+    pub fn underreplicated_models(&self) -> impl Iterator<Item = (&ModelIntent, usize)> {
         let mut ready: BTreeMap<(&ModelName, &SmolStr), usize> = BTreeMap::new();
         for (_, _, m) in self.routable() {
             *ready.entry((&m.name, &m.version)).or_default() += 1;
@@ -444,7 +444,7 @@
             let gone = e.is_none_or(|e| e.presence == Presence::Gone);
             gone || self.replica(&s.place, &s.model).is_none()
         });
-        !open && unloaded && self.short_models().next().is_none()
+        !open && unloaded && self.underreplicated_models().next().is_none()
     }
 
     /// Gives the targets of the plan in force that aren't ready now.
