--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::Whole;
 use crate::metrics::Metrics;
 use crate::settings::ClaimSettings;
-use limehollow::claim::{ClaimRecord, Claimant, Claims, KeyHash, Standing};
+use limehollow::claim::{ClaimRecord, Claimant, Claims, KeyHash, ClaimState};
 use limehollow::id::{Incarnation, LogTime, Offset, VmName};
 use limehollow_edge::log::LogService;
 use limehollow_wire::claim::{STREAM, decode, encode};
@@ -170,7 +170,7 @@
                     let _gone = reply.send(Decision::Undecided);
                     return;
                 }
-                if let Standing::Held(who) = self.claims.standing(key) {
+                if let ClaimState::Held(who) = self.claims.state(key) {
                     let _gone = reply.send(self.held_by(who));
                     return;
                 }
@@ -225,7 +225,7 @@
                 continue;
             };
             let given_up = matches!(self.fates.get(&who.number), Some(Fate::Released));
-            let stands = self.claims.standing(*key) == Standing::Held(who.clone());
+            let stands = self.claims.state(*key) == ClaimState::Held(who.clone());
             if given_up && stands && *who == self.claimant(who.number) {
                 self.releases.push(ClaimRecord::Release(*key, who.clone()));
             }
@@ -308,8 +308,8 @@
 
     fn decide(&mut self, p: Pending) {
         let mine = self.claimant(p.number);
-        match self.claims.standing(p.key) {
-            Standing::Held(who) if who == mine => {
+        match self.claims.state(p.key) {
+            ClaimState::Held(who) if who == mine => {
                 self.keys.insert(p.number, p.key);
                 if p.reply.send(Decision::Mine(p.number)).is_err() {
                     // The caller has been told that nothing ran, so nothing may run any more.
@@ -317,10 +317,10 @@
                     self.release(p.key, p.number);
                 }
             }
-            Standing::Held(who) => {
+            ClaimState::Held(who) => {
                 let _gone = p.reply.send(self.held_by(who));
             }
-            Standing::Free => {
+            ClaimState::Free => {
                 let _gone = p.reply.send(Decision::Undecided);
             }
         }
--- a/crates/limehollow/src/claim.rs
+++ b/crates/limehollow/src/claim.rs
@@ -51,7 +51,7 @@
 
 /// What stands for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClaimState {
     /// Nobody has claimed it, or the claims were released.
     Free,
     /// This claimant may run it, and nobody else.
@@ -99,10 +99,10 @@
 
     /// Gives what stands for a key.
     #[must_use]
-    pub fn standing(&self, key: KeyHash) -> Standing {
+    pub fn state(&self, key: KeyHash) -> ClaimState {
         self.held
             .get(&key)
-            .map_or(Standing::Free, |(_, c)| Standing::Held(c.clone()))
+            .map_or(ClaimState::Free, |(_, c)| ClaimState::Held(c.clone()))
     }
 
     /// Takes the next batch of the stream; all its records share one offset.
--- a/crates/limehollow/tests/claim.rs
+++ b/crates/limehollow/tests/claim.rs
@@ -1,7 +1,7 @@
 //! Claims: of all who want to run a request, one may.
 
 use bolero::check;
-use limehollow::claim::{ClaimRecord, Claimant, Claims, KeyHash, Standing, key_hash};
+use limehollow::claim::{ClaimRecord, Claimant, Claims, KeyHash, ClaimState, key_hash};
 use limehollow::id::{LogTime, Offset};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,8 +36,8 @@
 #[test]
 fn standing_first_wins() {
     let c = claims(&[claim(7, "vm-1", 1), claim(7, "vm-2", 1)]);
-    assert_eq!(c.standing(7), Standing::Held(who("vm-1", 1)));
-    assert_eq!(c.standing(8), Standing::Free);
+    assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
+    assert_eq!(c.state(8), ClaimState::Free);
 }
 
 #[test]
@@ -48,7 +48,7 @@
         LogTime(0),
         &[claim(7, "vm-2", 1), claim(7, "vm-1", 1)],
     );
-    assert_eq!(c.standing(7), Standing::Held(who("vm-2", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(who("vm-2", 1)));
 }
 
 #[test]
@@ -58,22 +58,22 @@
         release(7, "vm-2", 1),
         release(7, "vm-1", 2),
     ]);
-    assert_eq!(c.standing(7), Standing::Held(who("vm-1", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
     let c = claims(&[
         claim(7, "vm-1", 1),
         release(7, "vm-1", 1),
         claim(7, "vm-2", 1),
     ]);
-    assert_eq!(c.standing(7), Standing::Held(who("vm-2", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(who("vm-2", 1)));
 }
 
 #[test]
 fn forget_by_age() {
     let mut c = claims(&[claim(7, "vm-1", 1)]);
     c.apply(Offset(1), LogTime(MEMORY - 1), &[]);
-    assert_eq!(c.standing(7), Standing::Held(who("vm-1", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
     c.apply(Offset(2), LogTime(MEMORY), &[]);
-    assert_eq!(c.standing(7), Standing::Free);
+    assert_eq!(c.state(7), ClaimState::Free);
 }
 
 #[test]
@@ -82,9 +82,9 @@
     let mut c = claims(&[claim(7, "vm-1", 1), release(7, "vm-1", 1)]);
     c.apply(Offset(2), LogTime(900), &[claim(7, "vm-2", 1)]);
     c.apply(Offset(3), LogTime(1_100), &[]);
-    assert_eq!(c.standing(7), Standing::Held(who("vm-2", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(who("vm-2", 1)));
     c.apply(Offset(4), LogTime(1_900), &[]);
-    assert_eq!(c.standing(7), Standing::Free);
+    assert_eq!(c.state(7), ClaimState::Free);
 }
 
 #[test]
@@ -92,8 +92,8 @@
     let mut c = claims(&[claim(7, "vm-1", 1), release(7, "vm-1", 1)]);
     c.apply(Offset(0), LogTime(0), &[claim(7, "vm-1", 1)]);
     assert_eq!(
-        c.standing(7),
-        Standing::Free,
+        c.state(7),
+        ClaimState::Free,
         "a batch that was read again changes nothing"
     );
 }
@@ -125,7 +125,7 @@
                     LogTime(i),
                     &[ClaimRecord::Claim(key, me.clone())],
                 );
-                if all.standing(key) != Standing::Held(me.clone()) {
+                if all.state(key) != ClaimState::Held(me.clone()) {
                     continue;
                 }
                 if *gives_back {
