--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -82,7 +82,7 @@
         Self {
             log,
             me,
-            claims: Claims::default().with_memory(settings.memory_ms),
+            claims: Claims::default().with_retention(settings.memory_ms),
             settings,
             metrics,
             caught_up: false,
--- a/crates/limehollow-gateway/src/settings.rs
+++ b/crates/limehollow-gateway/src/settings.rs
@@ -92,7 +92,7 @@
 impl Default for ClaimSettings {
     fn default() -> Self {
         Self {
-            memory_ms: limehollow::claim::DEFAULT_MEMORY_MS,
+            memory_ms: limehollow::claim::DEFAULT_RETENTION_MS,
             batch_ms: 5,
             results: 4_096,
             result_bytes: 64 << 10,
--- a/crates/limehollow/src/claim.rs
+++ b/crates/limehollow/src/claim.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// How long a claim is remembered, in milliseconds of the log's time.
-pub const DEFAULT_MEMORY_MS: u64 = 600_000;
+pub const DEFAULT_RETENTION_MS: u64 = 600_000;
 
 /// The hash of a caller's key with what it belongs to: caller, method and path.
 pub type KeyHash = u128;
@@ -74,7 +74,7 @@
 impl Claims {
     /// Sets how long claims are remembered, in milliseconds of the log's time.
     #[must_use]
-    pub fn with_memory(mut self, ms: u64) -> Self {
+    pub fn with_retention(mut self, ms: u64) -> Self {
         self.memory_ms = Some(ms);
         self
     }
@@ -145,7 +145,7 @@
     /// Forgets claims that are past their time. A key that was released and claimed again stands
     /// twice in the list by age; only the entry of the claim that stands may free it.
     fn forget(&mut self, at: LogTime) {
-        let memory = self.memory_ms.unwrap_or(DEFAULT_MEMORY_MS);
+        let memory = self.memory_ms.unwrap_or(DEFAULT_RETENTION_MS);
         while let Some(first) = self.by_age.first_entry() {
             let (old, key) = *first.get();
             if at.millis_since(old) < memory {
--- a/crates/limehollow/tests/claim.rs
+++ b/crates/limehollow/tests/claim.rs
@@ -26,7 +26,7 @@
 
 /// Applies one record a batch, each 100 ms after the last.
 fn claims(records: &[ClaimRecord]) -> Claims {
-    let mut c = Claims::default().with_memory(MEMORY);
+    let mut c = Claims::default().with_retention(MEMORY);
     for (i, r) in (0..).zip(records) {
         c.apply(Offset(i), LogTime(i * 100), std::slice::from_ref(r));
     }
