--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -248,7 +248,7 @@
     }
 
     fn objective_ms(&self) -> f64 {
-        let objective = self.catalog.tightest_objective(&self.job.service);
+        let objective = self.catalog.shortest_objective(&self.job.service);
         objective.unwrap_or(self.rule.objective).as_secs_f64() * 1000.0
     }
 
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -204,7 +204,7 @@
 
 fn bounds(catalog: &Catalog, job: &Job) -> Bounds {
     let service = &job.service;
-    let pause = catalog.tightest_pause(service);
+    let pause = catalog.shortest_pause(service);
     Bounds {
         kv_tokens: catalog.engine(service).map(|e| e.kv_tokens),
         reading_ms: pause.map_or(f64::INFINITY, |p| p.as_secs_f64() * 1000.0 * READING_SHARE),
--- a/crates/limehollow/src/catalog.rs
+++ b/crates/limehollow/src/catalog.rs
@@ -223,13 +223,13 @@
 
     /// Gives the shortest pause that the rules allow which go to a service.
     #[must_use]
-    pub fn tightest_pause(&self, service: &ServiceName) -> Option<Duration> {
+    pub fn shortest_pause(&self, service: &ServiceName) -> Option<Duration> {
         self.pauses.get(service).copied()
     }
 
     /// Gives the shortest objective among the rules that go to a service.
     #[must_use]
-    pub fn tightest_objective(&self, service: &ServiceName) -> Option<Duration> {
+    pub fn shortest_objective(&self, service: &ServiceName) -> Option<Duration> {
         self.tightest.get(service).copied()
     }
 
--- a/crates/limehollow/tests/catalog.rs
+++ b/crates/limehollow/tests/catalog.rs
@@ -70,7 +70,7 @@
         slow,
         rule("x.example", "/fast/", &[("one", 1), ("two", 1)]),
     ]);
-    assert_eq!(c.tightest_objective(&"one".into()), Some(millis(1000)));
-    assert_eq!(c.tightest_objective(&"two".into()), Some(millis(1000)));
-    assert_eq!(c.tightest_objective(&"three".into()), None);
+    assert_eq!(c.shortest_objective(&"one".into()), Some(millis(1000)));
+    assert_eq!(c.shortest_objective(&"two".into()), Some(millis(1000)));
+    assert_eq!(c.shortest_objective(&"three".into()), None);
 }
