--- a/crates/limehollow/src/error.rs
+++ b/crates/limehollow/src/error.rs
@@ -129,7 +129,7 @@
     },
     /// The order repeats what is already so.
     #[snafu(display("{model} is already in that state at {endpoint}/{accelerator}"))]
-    AlreadySo {
+    AlreadyInState {
         /// The model.
         model: ModelName,
         /// The endpoint.
@@ -199,7 +199,7 @@
             | Self::IntentOvertaken { .. }
             | Self::PlanAnswered { .. }
             | Self::PlanExists { .. }
-            | Self::AlreadySo { .. } => Category::Overtaken,
+            | Self::AlreadyInState { .. } => Category::Overtaken,
             Self::Memory { .. }
             | Self::LastReplica { .. }
             | Self::OrderPending { .. }
--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -3,7 +3,7 @@
 use super::{Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Endpoint, Fleet, Presence, ReplicaState};
 use super::{has_ready, unknown, unknown_place};
 use crate::error::{
-    AdapterBaseSnafu, AlreadySoSnafu, LastReplicaSnafu, MayArriveLateSnafu, MemorySnafu,
+    AdapterBaseSnafu, AlreadyInStateSnafu, LastReplicaSnafu, MayArriveLateSnafu, MemorySnafu,
     NotConfirmedSnafu, NotHolderSnafu, OrderPendingSnafu, Result,
 };
 use crate::id::{LogTime, Offset, ZoneName};
@@ -192,7 +192,7 @@
 
 fn already(o: &OrderIssued) -> Result<()> {
     let (endpoint, accelerator) = (o.place.endpoint.clone(), o.place.accelerator);
-    AlreadySoSnafu {
+    AlreadyInStateSnafu {
         model: o.model.name.clone(),
         endpoint,
         accelerator,
