--- a/crates/limehollow/src/error.rs
+++ b/crates/limehollow/src/error.rs
@@ -107,7 +107,7 @@
     },
     /// A duplicate of an earlier order may still arrive at an endpoint that checks no fencing number.
     #[snafu(display("order {order} to {endpoint} may still arrive again for {wait_ms} ms"))]
-    MayArriveLate {
+    DuplicateMayArrive {
         /// The endpoint.
         endpoint: VmName,
         /// The earlier order.
@@ -203,7 +203,7 @@
             Self::Memory { .. }
             | Self::LastReplica { .. }
             | Self::OrderPending { .. }
-            | Self::MayArriveLate { .. }
+            | Self::DuplicateMayArrive { .. }
             | Self::AdapterBase { .. } => Category::NotYet,
             Self::Unknown { .. } | Self::NotConfirmed { .. } | Self::BadIntent { .. } => {
                 Category::Invalid
--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -3,7 +3,7 @@
 use super::{Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Endpoint, Fleet, Presence, ReplicaState};
 use super::{has_ready, unknown, unknown_place};
 use crate::error::{
-    AdapterBaseSnafu, AlreadyInStateSnafu, LastReplicaSnafu, MayArriveLateSnafu, MemorySnafu,
+    AdapterBaseSnafu, AlreadyInStateSnafu, LastReplicaSnafu, DuplicateMayArriveSnafu, MemorySnafu,
     NotConfirmedSnafu, NotHolderSnafu, OrderPendingSnafu, Result,
 };
 use crate::id::{LogTime, Offset, ZoneName};
@@ -75,7 +75,7 @@
         };
         let since = p.settled.as_ref().map_or(at, |s| s.at);
         let wait_ms = DEFAULT_MAX_ORDER_DELAY_MS.saturating_sub(at.millis_since(since));
-        MayArriveLateSnafu {
+        DuplicateMayArriveSnafu {
             endpoint: o.place.endpoint.clone(),
             order: *order,
             wait_ms,
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -6,7 +6,7 @@
 };
 use super::{unknown, unknown_place};
 use crate::error::{
-    BackwardsSnafu, IntentOvertakenSnafu, LeaseOvertakenSnafu, MayArriveLateSnafu,
+    BackwardsSnafu, IntentOvertakenSnafu, LeaseOvertakenSnafu, DuplicateMayArriveSnafu,
     PlanAnsweredSnafu, PlanExistsSnafu, Result,
 };
 use crate::id::{LogTime, ModelName, Offset, VmName, ZoneName};
@@ -435,7 +435,7 @@
             return Ok(());
         }
         let wait_ms = DEFAULT_MAX_ORDER_DELAY_MS - waited;
-        MayArriveLateSnafu {
+        DuplicateMayArriveSnafu {
             endpoint: o.place.endpoint.clone(),
             order: r.order,
             wait_ms,
