--- a/crates/limehollow/src/error.rs
+++ b/crates/limehollow/src/error.rs
@@ -14,7 +14,7 @@
 pub enum Error {
     /// The record's offset isn't after the one in force.
     #[snafu(display("offset {got} is not after {in_force}, which is in force"))]
-    Backwards {
+    StaleOffset {
         /// The record's offset.
         got: Offset,
         /// The offset in force.
@@ -193,7 +193,7 @@
     #[must_use]
     pub fn category(&self) -> Category {
         match self {
-            Self::Backwards { .. }
+            Self::StaleOffset { .. }
             | Self::LeaseOvertaken { .. }
             | Self::NotHolder { .. }
             | Self::IntentOvertaken { .. }
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -6,7 +6,7 @@
 };
 use super::{unknown, unknown_place};
 use crate::error::{
-    BackwardsSnafu, IntentOvertakenSnafu, LeaseOvertakenSnafu, DuplicateMayArriveSnafu,
+    StaleOffsetSnafu, IntentOvertakenSnafu, LeaseOvertakenSnafu, DuplicateMayArriveSnafu,
     PlanAnsweredSnafu, PlanExistsSnafu, Result,
 };
 use crate::id::{LogTime, ModelName, Offset, VmName, ZoneName};
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// The reason why the record is void. The offset moves on all the same, save for
-    /// [`crate::Error::Backwards`], which changes nothing.
+    /// [`crate::Error::StaleOffset`], which changes nothing.
     pub fn apply(&mut self, offset: Offset, at: LogTime, record: &Record) -> Result<Effect> {
         self.advance(offset, at)?;
         let res = self.apply_kind(offset, at, record);
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Backwards`] if the offset isn't after the one in force.
+    /// [`crate::Error::StaleOffset`] if the offset isn't after the one in force.
     pub fn skip_unreadable(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
         self.advance(offset, at)?;
         self.unread += 1;
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Backwards`] if the offset isn't after the one in force.
+    /// [`crate::Error::StaleOffset`] if the offset isn't after the one in force.
     pub fn skip_snapshot(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
         self.advance(offset, at)?;
         Ok(Effect::Nothing)
@@ -59,7 +59,7 @@
     fn advance(&mut self, offset: Offset, at: LogTime) -> Result<()> {
         if offset < self.next {
             let in_force = self.in_force_offset().unwrap_or_default();
-            return BackwardsSnafu {
+            return StaleOffsetSnafu {
                 got: offset,
                 in_force,
             }
