--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::Whole;
 use crate::metrics::Metrics;
 use crate::settings::ClaimSettings;
-use limehollow::claim::{ClaimRecord, Claimant, Claims, KeyHash, ClaimState};
+use limehollow::claim::{ClaimRecord, ClaimState, Claimant, Claims, KeyHash};
 use limehollow::id::{Incarnation, LogTime, Offset, VmName};
 use limehollow_edge::log::LogService;
 use limehollow_wire::claim::{STREAM, decode, encode};
--- a/crates/limehollow-gateway/tests/rig/mod.rs
+++ b/crates/limehollow-gateway/tests/rig/mod.rs
@@ -7,7 +7,7 @@
 
 use limehollow::id::Offset;
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
-use limehollow::plan::{ModelVersion, AcceleratorRef, Plan};
+use limehollow::plan::{AcceleratorRef, ModelVersion, Plan};
 use limehollow::record::{
     Answer, AnswerKind, EndpointKind, EndpointSeen, LeaseTaken, Record, Resident,
 };
--- a/crates/limehollow-wire/src/engine.rs
+++ b/crates/limehollow-wire/src/engine.rs
@@ -4,7 +4,7 @@
 use limehollow::listing::Look;
 use limehollow::load::LoadReport;
 use limehollow::order::Order;
-use limehollow::plan::{Action, ModelVersion, AcceleratorRef};
+use limehollow::plan::{AcceleratorRef, Action, ModelVersion};
 use limehollow::record::{EndpointKind, Resident};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
--- a/crates/limehollow-wire/src/record.rs
+++ b/crates/limehollow-wire/src/record.rs
@@ -4,7 +4,7 @@
 use limehollow::fleet::Fleet;
 use limehollow::id::{Incarnation, ModelName, Offset, OperatorName, VmName, ZoneName};
 use limehollow::intent::{Intent, IntentChange, ModelIntent, Weights};
-use limehollow::plan::{Action, ModelVersion, AcceleratorRef, Plan, Step, Target};
+use limehollow::plan::{AcceleratorRef, Action, ModelVersion, Plan, Step, Target};
 use limehollow::record as core;
 use limehollow::record::{
     AnswerKind, Cause, Content, Departure, EndpointKind, Evidence, Outcome, Record, Resident,
--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::error::UnknownSnafu;
 use crate::id::{AcceleratorIndex, Incarnation, LogTime, ModelName, Offset, VmName, ZoneName};
 use crate::intent::{Intent, ModelIntent};
-use crate::plan::{Action, ModelVersion, AcceleratorRef, Plan, Target};
+use crate::plan::{AcceleratorRef, Action, ModelVersion, Plan, Target};
 use crate::record::{AnswerKind, Cause, EndpointKind, Evidence, Outcome};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -387,7 +387,10 @@
     }
 
     /// Gives the places of the replicas of one model that requests may go to.
-    pub fn ready_replicas<'a>(&'a self, model: &'a str) -> impl Iterator<Item = AcceleratorRef> + 'a {
+    pub fn ready_replicas<'a>(
+        &'a self,
+        model: &'a str,
+    ) -> impl Iterator<Item = AcceleratorRef> + 'a {
         self.routable()
             .filter(move |(_, _, m)| m.name.as_str() == model)
             .map(|(name, i, _)| AcceleratorRef {
--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -3,12 +3,12 @@
 use super::{Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Endpoint, Fleet, Presence, ReplicaState};
 use super::{has_ready, unknown, unknown_place};
 use crate::error::{
-    AdapterBaseSnafu, AlreadyInStateSnafu, LastReplicaSnafu, DuplicateMayArriveSnafu, MemorySnafu,
+    AdapterBaseSnafu, AlreadyInStateSnafu, DuplicateMayArriveSnafu, LastReplicaSnafu, MemorySnafu,
     NotConfirmedSnafu, NotHolderSnafu, OrderPendingSnafu, Result,
 };
 use crate::id::{LogTime, Offset, ZoneName};
 use crate::intent::ModelIntent;
-use crate::plan::{Action, ModelVersion, AcceleratorRef};
+use crate::plan::{AcceleratorRef, Action, ModelVersion};
 use crate::record::OrderIssued;
 use std::collections::BTreeMap;
 
@@ -172,7 +172,8 @@
 
     /// Tells whether another replica of the order's model is surely ready elsewhere.
     fn has_other_replica(&self, o: &OrderIssued) -> bool {
-        self.ready_replicas(o.model.name.as_str()).any(|p| p != o.place)
+        self.ready_replicas(o.model.name.as_str())
+            .any(|p| p != o.place)
     }
 
     pub(super) fn confirmed_model(&self, model: &ModelVersion) -> Result<&ModelIntent> {
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -1,17 +1,17 @@
 //! How the records of the log change the fleet's state.
 
 use super::{
-    Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Effect, Endpoint, Fleet, HISTORY_LEN, Lease, OrderState,
-    PlanRefusal, PlanState, Presence, PublishedIntent, Replica, ReplicaState, Settled,
+    Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Effect, Endpoint, Fleet, HISTORY_LEN, Lease,
+    OrderState, PlanRefusal, PlanState, Presence, PublishedIntent, Replica, ReplicaState, Settled,
 };
 use super::{unknown, unknown_place};
 use crate::error::{
-    StaleOffsetSnafu, IntentOvertakenSnafu, LeaseOvertakenSnafu, DuplicateMayArriveSnafu,
-    PlanAnsweredSnafu, PlanExistsSnafu, Result,
+    DuplicateMayArriveSnafu, IntentOvertakenSnafu, LeaseOvertakenSnafu, PlanAnsweredSnafu,
+    PlanExistsSnafu, Result, StaleOffsetSnafu,
 };
 use crate::id::{LogTime, ModelName, Offset, VmName, ZoneName};
 use crate::intent::{Intent, IntentChange};
-use crate::plan::{Action, ModelVersion, AcceleratorRef, Plan, Target};
+use crate::plan::{AcceleratorRef, Action, ModelVersion, Plan, Target};
 use crate::record::{
     Answer, AnswerKind, Departure, EndpointKind, EndpointLeft, EndpointSeen, Evidence, LeaseTaken,
     OrderIssued, OrderSettled, Outcome, PlanRefused, Record, ReplicaFound, ReplicaLost, Resident,
--- a/crates/limehollow/src/listing.rs
+++ b/crates/limehollow/src/listing.rs
@@ -2,7 +2,7 @@
 
 use crate::id::{Incarnation, ModelName, ServiceName, VmName, ZoneName};
 use crate::load::LoadReport;
-use crate::plan::{ModelVersion, AcceleratorRef};
+use crate::plan::{AcceleratorRef, ModelVersion};
 use crate::record::{EndpointKind, Resident};
 use smol_str::SmolStr;
 use tokio::time::Instant;
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -14,7 +14,7 @@
 use crate::id::{Incarnation, LogTime, ModelName, Offset, VmName, ZoneName};
 use crate::listing::{Listed, ListedKind, Look};
 use crate::membership::Membership;
-use crate::plan::{Action, ModelVersion, AcceleratorRef};
+use crate::plan::{AcceleratorRef, Action, ModelVersion};
 use crate::record::Record;
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
@@ -255,7 +255,13 @@
     }
 
     /// Takes in how many requests for a model a second a gateway of the zone had to refuse.
-    pub fn on_unmet_demand(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
+    pub fn on_unmet_demand(
+        &mut self,
+        now: Instant,
+        from: VmName,
+        model: ModelName,
+        per_second: f64,
+    ) {
         self.demand.hear(now, from, model, per_second);
     }
 
--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -7,7 +7,7 @@
 use crate::listing::ListedKind;
 use crate::membership::rendezvous;
 use crate::placement;
-use crate::plan::{Action, ModelVersion, AcceleratorRef, Step};
+use crate::plan::{AcceleratorRef, Action, ModelVersion, Step};
 use crate::record::{Cause, OrderIssued, Outcome, PlanRefused, Record};
 use smol_str::ToSmolStr;
 use std::collections::HashSet;
@@ -228,7 +228,12 @@
 
     /// Tells whether a model would still be ready somewhere without one of its replicas. The log's rule
     /// counts endpoints that are off the platform's list too, so the holder is stricter than it.
-    fn stays_reachable(&self, fleet: &Fleet, without: &AcceleratorRef, model: &ModelVersion) -> bool {
+    fn stays_reachable(
+        &self,
+        fleet: &Fleet,
+        without: &AcceleratorRef,
+        model: &ModelVersion,
+    ) -> bool {
         let intent = fleet.confirmed_intent().map(|p| &p.intent);
         if intent.is_none_or(|i| i.model(model.name.as_str()).is_none()) {
             return true;
@@ -349,7 +354,12 @@
     }
 
     /// Considers a replica that stood before the plan, was to stay, and is missing now.
-    fn consider_target(&mut self, zone: &ZoneName, place: &'a AcceleratorRef, model: &'a ModelVersion) {
+    fn consider_target(
+        &mut self,
+        zone: &ZoneName,
+        place: &'a AcceleratorRef,
+        model: &'a ModelVersion,
+    ) {
         let held =
             self.fleet.replica(place, model).is_some() || self.blocked_places.contains(place);
         if held || *zone != self.driver.zone || self.has_enough(&model.name) {
@@ -441,7 +451,13 @@
         })
     }
 
-    fn would_admit(&self, place: &AcceleratorRef, action: Action, model: &ModelVersion, bytes: u64) -> bool {
+    fn would_admit(
+        &self,
+        place: &AcceleratorRef,
+        action: Action,
+        model: &ModelVersion,
+        bytes: u64,
+    ) -> bool {
         let planned_away = action == Action::Load && self.unloads.contains(&(place, model));
         let o = self.order(place.clone(), action, model.clone(), bytes, Cause::Repair);
         let busy = self.busy.contains(&place.endpoint);
--- a/crates/limehollow/src/placement.rs
+++ b/crates/limehollow/src/placement.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Fleet, Presence, ReplicaState};
 use crate::id::{ModelName, Offset, ZoneName};
 use crate::intent::{Intent, ModelIntent};
-use crate::plan::{Action, MemoryUse, ModelVersion, AcceleratorRef, Plan, Step, Target};
+use crate::plan::{AcceleratorRef, Action, MemoryUse, ModelVersion, Plan, Step, Target};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// An accelerator while a plan is made.
--- a/crates/limehollow/src/record.rs
+++ b/crates/limehollow/src/record.rs
@@ -5,7 +5,7 @@
 
 use crate::id::{Incarnation, LogTime, Offset, OperatorName, ServiceName, VmName, ZoneName};
 use crate::intent::{Intent, IntentChange};
-use crate::plan::{Action, ModelVersion, AcceleratorRef, Plan};
+use crate::plan::{AcceleratorRef, Action, ModelVersion, Plan};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
--- a/crates/limehollow/tests/claim.rs
+++ b/crates/limehollow/tests/claim.rs
@@ -1,7 +1,7 @@
 //! Claims: of all who want to run a request, one may.
 
 use bolero::check;
-use limehollow::claim::{ClaimRecord, Claimant, Claims, KeyHash, ClaimState, key_hash};
+use limehollow::claim::{ClaimRecord, ClaimState, Claimant, Claims, KeyHash, key_hash};
 use limehollow::id::{LogTime, Offset};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -150,7 +150,11 @@
     let mut w = up(LANTERWIJK);
     w.unmet = vec![("a".into(), "m".into(), 3.0), ("b".into(), "m".into(), 3.0)];
     w.run(secs(400));
-    assert_eq!(w.fleet().ready_replicas("m").count(), 4, "one an accelerator");
+    assert_eq!(
+        w.fleet().ready_replicas("m").count(),
+        4,
+        "one an accelerator"
+    );
     w.unmet = vec![("a".into(), "n".into(), 3.0), ("b".into(), "n".into(), 3.0)];
     w.run(secs(1500));
     let n = w.fleet().ready_replicas("n").count();
--- a/crates/limehollow/tests/fleet.rs
+++ b/crates/limehollow/tests/fleet.rs
@@ -202,14 +202,26 @@
     let mut s = Story::begin();
     let used = |s: &Story| s.fleet.accelerator(&place("open")).map(Accelerator::used);
     let load = s.ok(order("open", Load, "m", "1", 40));
-    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 0));
+    assert_eq!(
+        (used(&s), s.fleet.ready_replicas("m").count()),
+        (Some(40), 0)
+    );
     s.ok(settled(load, Outcome::Done, Evidence::EffectSeen));
-    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 1));
+    assert_eq!(
+        (used(&s), s.fleet.ready_replicas("m").count()),
+        (Some(40), 1)
+    );
     s.load("fenced", "m", 40);
     let unload = s.ok(order("open", Unload, "m", "1", 40));
-    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 1));
+    assert_eq!(
+        (used(&s), s.fleet.ready_replicas("m").count()),
+        (Some(40), 1)
+    );
     s.ok(settled(unload, Outcome::NotDone, Evidence::NeverSent));
-    assert_eq!((used(&s), s.fleet.ready_replicas("m").count()), (Some(40), 2));
+    assert_eq!(
+        (used(&s), s.fleet.ready_replicas("m").count()),
+        (Some(40), 2)
+    );
 }
 
 #[test]
@@ -502,7 +514,10 @@
     );
     let o = s.ok(order("fenced", Load, "m", "2", 40));
     s.ok(settled(o, Outcome::Done, Evidence::EffectSeen));
-    assert_eq!(s.fleet.ready_replicas("m").collect::<Vec<_>>(), [place("fenced")]);
+    assert_eq!(
+        s.fleet.ready_replicas("m").collect::<Vec<_>>(),
+        [place("fenced")]
+    );
     let lost = ReplicaLost {
         zone: "a".into(),
         epoch: Offset(0),
--- a/crates/limehollow/tests/orders_in_doubt.rs
+++ b/crates/limehollow/tests/orders_in_doubt.rs
@@ -262,7 +262,11 @@
         .filter(|e| e.models.contains_key(&version("m", "1")))
         .count();
     assert_eq!(held, 2, "a replica was unloaded while it had a request");
-    assert_eq!(w.fleet().ready_replicas("m").count(), 1, "it gets no new work");
+    assert_eq!(
+        w.fleet().ready_replicas("m").count(),
+        1,
+        "it gets no new work"
+    );
     for e in w.engines.values_mut() {
         e.running.clear();
     }
--- a/crates/limehollow/tests/records/mod.rs
+++ b/crates/limehollow/tests/records/mod.rs
@@ -5,7 +5,7 @@
 use limehollow::fleet::{Effect, Fleet};
 use limehollow::id::{LogTime, Offset};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
-use limehollow::plan::{Action, ModelVersion, AcceleratorRef, Plan};
+use limehollow::plan::{AcceleratorRef, Action, ModelVersion, Plan};
 use limehollow::record::{
     Answer, AnswerKind, Cause, EndpointKind, EndpointSeen, Evidence, LeaseTaken, OrderIssued,
     OrderSettled, Outcome, Record, Resident,
--- a/crates/limehollow/tests/repairs.rs
+++ b/crates/limehollow/tests/repairs.rs
@@ -24,7 +24,11 @@
 
 /// Gives an engine that holds a model, and its zone.
 fn holder_of(w: &World, name: &str) -> (VmName, String) {
-    let place = w.fleet().ready_replicas(name).next().expect("it is ready somewhere");
+    let place = w
+        .fleet()
+        .ready_replicas(name)
+        .next()
+        .expect("it is ready somewhere");
     let zone = w
         .fleet()
         .endpoint(place.endpoint.as_str())
@@ -216,7 +220,9 @@
     w.confirm(intent(vec![model("m", "1", 20, 1), model("n", "1", 20, 2)]));
     w.run(secs(200));
     assert!(
-        w.fleet().ready_replicas("m").any(|p| !lost.contains(&p.endpoint)),
+        w.fleet()
+            .ready_replicas("m")
+            .any(|p| !lost.contains(&p.endpoint)),
         "{:#?}",
         what_is_open(&w)
     );
--- a/crates/limehollow/tests/traffic/mod.rs
+++ b/crates/limehollow/tests/traffic/mod.rs
@@ -6,7 +6,7 @@
 use limehollow::fleet::Fleet;
 use limehollow::id::{EndpointKey, LogTime, Offset};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
-use limehollow::plan::{ModelVersion, AcceleratorRef, Plan};
+use limehollow::plan::{AcceleratorRef, ModelVersion, Plan};
 use limehollow::record::{
     Answer, AnswerKind, EndpointKind, EndpointSeen, LeaseTaken, Record, Resident,
 };
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use limehollow::load::LoadReport;
 use limehollow::membership::{Liveness, Membership};
 use limehollow::order::{Command, Driver, Order, Rules, SendResult};
-use limehollow::plan::{Action, ModelVersion, AcceleratorRef};
+use limehollow::plan::{AcceleratorRef, Action, ModelVersion};
 use limehollow::record::{Answer, AnswerKind, Content, EndpointKind, Entry, Record, Resident};
 use limehollow::replay::Replay;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -608,7 +608,9 @@
             match call {
                 Command::Poll { endpoint, .. } => {
                     let look = self.engines.get(&endpoint).and_then(|e| e.look(now));
-                    self.controllers[i].driver.on_observation(now, &endpoint, look);
+                    self.controllers[i]
+                        .driver
+                        .on_observation(now, &endpoint, look);
                 }
                 Command::Fence {
                     endpoint, number, ..
