--- a/crates/limehollow/src/fleet.rs
+++ b/crates/limehollow/src/fleet.rs
@@ -1,9 +1,8 @@
-//! The state that the platform's log agrees on.
+//! The replicated state machine that is driven by the platform's log.
 //!
-//! Every process folds the same records in the same order, so all reach the same state without
-//! talking to each other. The promises about memory, reachability and leases are kept here: a
-//! record that would break one is void, and it is void for every reader alike
-//! (`docs/design/log-order.md`).
+//! Every process applies the same records in the same order, so all processes reach the same state
+//! without exchanging messages. The invariants on memory, reachability and leases are enforced here:
+//! a record that would violate one is void, for every reader alike (`docs/design/log-order.md`).
 
 mod admit;
 mod apply;
@@ -17,100 +16,100 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// The longest time that an order can still arrive after it was written down, in milliseconds of
-/// the log's time, unless the fleet's rules say otherwise.
+/// The default for the longest time after its append in which an order can still arrive, in
+/// milliseconds of log time.
 pub const DEFAULT_MAX_ORDER_DELAY_MS: u64 = 300_000;
 
-/// How many explanations of past orders are kept for `limectl explain`.
+/// The number of orders that are retained so that `limectl explain` can explain past ones.
 const HISTORY_LEN: usize = 512;
 
 /// A replica of a model on an accelerator.
 ///
-/// Memory counts every replica; reachability counts only the [`ReplicaState::Ready`] ones
+/// Memory accounting includes every replica; reachability includes only [`ReplicaState::Ready`] ones
 /// (`docs/design/two-sided-accounting.md`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its memory, in bytes.
+    /// The accelerator memory that the replica takes, in bytes.
     pub bytes: u64,
-    /// How sure its presence is.
+    /// Whether the replica is known to be present.
     pub state: ReplicaState,
-    /// Whether the model is an adapter, and on which base.
+    /// The base model if this is a replica of an adapter.
     pub base: Option<ModelName>,
-    /// The last order about it, if any.
+    /// The last order that loaded or unloaded the replica, if any.
     pub last_order: Option<Offset>,
 }
 
-/// How sure a replica's presence is.
+/// Whether a replica is known to be present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReplicaState {
-    /// A load was written down and isn't settled: it may be there.
+    /// A load was appended to the log and isn't settled: the replica may be present.
     Loading(Offset),
-    /// It is there.
+    /// The replica is present.
     Ready,
-    /// An unload was written down and isn't settled: it may be gone.
+    /// An unload was appended to the log and isn't settled: the replica may be gone.
     Unloading(Offset),
 }
 
-/// The models of one accelerator.
+/// One accelerator and the replicas on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accelerator {
-    /// Its memory, in bytes.
+    /// The accelerator's memory, in bytes.
     pub capacity: u64,
-    /// What may be there.
+    /// The replicas that are or may be present.
     #[serde(with = "pairs")]
     pub replicas: BTreeMap<ModelVersion, Replica>,
 }
 
 impl Accelerator {
-    /// Gives the bytes that may be taken.
+    /// Returns the bytes reserved by replicas that are or may be present.
     #[must_use]
     pub fn used(&self) -> u64 {
         self.replicas.values().map(|r| r.bytes).sum()
     }
 
-    /// Gives the bytes that are surely free.
+    /// Returns the bytes that no replica can be using.
     #[must_use]
     pub fn free(&self) -> u64 {
         self.capacity.saturating_sub(self.used())
     }
 }
 
-/// Whether an endpoint takes work.
+/// Whether an endpoint accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Presence {
-    /// It takes work.
+    /// The endpoint accepts new work.
     Live,
-    /// It ends what it has.
+    /// The endpoint finishes the requests in flight and gets no new ones.
     Leaving,
-    /// It is off the membership list.
+    /// The endpoint is off the membership list.
     Gone,
 }
 
-/// An endpoint as the log knows it.
+/// An endpoint as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: ZoneName,
-    /// Its incarnation.
+    /// The current incarnation.
     pub incarnation: Incarnation,
-    /// Where it listens, as `IP:PORT`.
+    /// The address that the endpoint listens on, as `IP:PORT`.
     pub address: SmolStr,
-    /// What it is.
+    /// Whether the endpoint is a model engine or a plain service.
     pub kind: EndpointKind,
-    /// Whether it takes work.
+    /// Whether the endpoint accepts new work.
     pub presence: Presence,
-    /// Its accelerators; none on a plain service.
+    /// The accelerators; empty for a plain service.
     pub accelerators: Vec<Accelerator>,
-    /// The order whose outcome isn't known, if any. There is at most one.
+    /// The unsettled order, if any. There is at most one.
     pub pending: Option<Offset>,
-    /// The offset of the record that last changed its presence or incarnation.
+    /// The offset of the record that last changed the presence or the incarnation.
     pub since: Offset,
 }
 
 impl Endpoint {
-    /// Tells whether it refuses orders with an old fencing number.
+    /// Returns `true` if the endpoint refuses orders with an old fencing number.
     #[must_use]
     pub fn checks_fencing(&self) -> bool {
         matches!(
@@ -126,79 +125,79 @@
 /// The lease of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The offset of its takeover, which is the fencing number.
+    /// The offset of the takeover record, which is also the fencing number.
     pub epoch: Offset,
-    /// The entry VM that holds it.
+    /// The entry VM that holds the lease.
     pub holder: VmName,
-    /// The incarnation of its controller.
+    /// The incarnation of the holder's controller.
     pub incarnation: Incarnation,
-    /// When it was taken.
+    /// The log time of the takeover.
     pub at: LogTime,
 }
 
-/// An intent with its place in the log.
+/// An intent with its position in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedIntent {
-    /// Its offset.
+    /// The offset of the intent's record.
     pub offset: Offset,
-    /// When it was published.
+    /// The log time at which the intent was published.
     pub at: LogTime,
     /// The intent.
     pub intent: Intent,
 }
 
-/// Where a plan stands.
+/// A plan and the operator's answer to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanState {
-    /// Its offset.
+    /// The offset of the plan's record.
     pub offset: Offset,
     /// The plan.
     pub plan: Plan,
-    /// The answer, its operator, and the answer's offset.
+    /// The answer, the operator who gave it, and the offset of its record.
     pub answer: Option<(AnswerKind, crate::id::OperatorName, Offset)>,
 }
 
-/// An order and what became of it.
+/// An order and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderState {
-    /// When it was written down.
+    /// The log time at which the order was appended.
     pub at: LogTime,
-    /// The lease under which it was given.
+    /// The epoch of the lease under which the order was issued.
     pub epoch: Offset,
-    /// The holder that may send it, and its incarnation.
+    /// The lease holder that may send the order, and its incarnation.
     pub sender: (VmName, Incarnation),
-    /// Where.
+    /// The accelerator that the order applies to.
     pub place: AcceleratorRef,
-    /// What.
+    /// Whether the order loads or unloads the model.
     pub action: Action,
-    /// To which model.
+    /// The model to load or unload.
     pub model: ModelVersion,
-    /// Why.
+    /// Why the order was issued.
     pub cause: Cause,
-    /// Its memory, in bytes.
+    /// The accelerator memory that the model takes, in bytes.
     pub bytes: u64,
-    /// The outcome, once it is known.
+    /// The outcome, if it is known.
     pub settled: Option<Settled>,
 }
 
 /// The known outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settled {
-    /// What became of it.
+    /// Whether the order took effect.
     pub outcome: Outcome,
-    /// How that is known.
+    /// The evidence for the outcome.
     pub evidence: Evidence,
-    /// The offset of the record that said so.
+    /// The offset of the settling record.
     pub offset: Offset,
-    /// The log's time of that record.
+    /// The log time of the settling record.
     pub at: LogTime,
 }
 
 impl OrderState {
-    /// Tells whether a copy of the order may still arrive at its endpoint.
+    /// Returns `true` if a copy of the order may still arrive at its endpoint.
     ///
-    /// The time counts from the settlement: a paused sender may send an order long after it was
-    /// written down, but not after its outcome is known.
+    /// The delay is counted from the settlement: a paused sender may send an order long after it was
+    /// appended to the log, but not after its outcome is known.
     #[must_use]
     pub fn may_arrive(&self, at: LogTime) -> bool {
         let Some(s) = &self.settled else { return true };
@@ -211,29 +210,29 @@
     }
 }
 
-/// What changed, for those who have to react to a record.
+/// The part of the state that a record changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Intents, plans or answers.
+    /// An intent, a plan or an answer to a plan.
     Configuration,
     /// A lease.
     Lease,
-    /// Endpoints, orders or replicas.
+    /// An endpoint, an order or a replica.
     Endpoints,
-    /// Only the offset.
+    /// Nothing but the offset.
     Nothing,
 }
 
-/// The state that the log agrees on.
+/// The state that results from applying the log's records in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The offset of the next record; nothing below it applies again.
+    /// The offset of the next record; records with a lower offset are refused.
     next: Offset,
-    /// The log's time of the last record.
+    /// The log time of the last record.
     at: LogTime,
     /// The latest intent.
     latest: Option<PublishedIntent>,
-    /// The intent whose plan was confirmed last.
+    /// The intent whose plan was the last to be confirmed.
     confirmed: Option<PublishedIntent>,
     /// The plan of the latest intent.
     proposed: Option<PlanState>,
@@ -243,135 +242,135 @@
     in_force: Option<PlanState>,
     /// The lease of each zone.
     leases: BTreeMap<ZoneName, Lease>,
-    /// All endpoints that were ever seen and not forgotten.
+    /// All endpoints that were ever seen, including those that are gone.
     endpoints: BTreeMap<VmName, Endpoint>,
-    /// Orders, the newest few hundred and all unsettled ones.
+    /// The newest few hundred orders, and all that are unsettled or may still arrive.
     #[serde(with = "pairs")]
     orders: BTreeMap<Offset, OrderState>,
-    /// The version of each model that each zone serves; it changes once, when the confirmed one is
-    /// ready there, and never back.
+    /// The version of each model that each zone serves. A zone switches to the confirmed version once
+    /// it is ready there, and never reverts to an earlier one.
     #[serde(with = "pairs")]
     served: BTreeMap<(ZoneName, ModelName), SmolStr>,
-    /// How many moves were done.
+    /// The number of loads and unloads that took effect.
     moves_done: u64,
-    /// How many records were void.
+    /// The number of void records.
     void: u64,
-    /// How many records this release could not read.
+    /// The number of records that this release could not decode.
     unread: u64,
 }
 
 /// Why the latest intent has no plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRefusal {
-    /// The intent.
+    /// The offset of the intent.
     pub intent: Offset,
-    /// The explanation.
+    /// The reason.
     pub why: SmolStr,
 }
 
 /// Queries.
 impl Fleet {
-    /// Gives the offset in force, or nothing before the first record.
+    /// Returns the offset of the last applied record, or `None` before the first one.
     #[must_use]
     pub fn in_force_offset(&self) -> Option<Offset> {
         self.next.0.checked_sub(1).map(Offset)
     }
 
-    /// Gives the offset to read next.
+    /// Returns the offset of the next record to read.
     #[must_use]
     pub fn next_offset(&self) -> Offset {
         self.next
     }
 
-    /// Gives the log's time of the last record.
+    /// Returns the log time of the last record.
     #[must_use]
     pub fn at(&self) -> LogTime {
         self.at
     }
 
-    /// Gives the latest intent, confirmed or not.
+    /// Returns the latest intent, confirmed or not.
     #[must_use]
     pub fn latest_intent(&self) -> Option<&PublishedIntent> {
         self.latest.as_ref()
     }
 
-    /// Gives the intent that is in force.
+    /// Returns the intent that is in force.
     #[must_use]
     pub fn confirmed_intent(&self) -> Option<&PublishedIntent> {
         self.confirmed.as_ref()
     }
 
-    /// Gives the plan of the latest intent, if there is one yet.
+    /// Returns the plan for the latest intent, if there is one yet.
     #[must_use]
     pub fn proposed_plan(&self) -> Option<&PlanState> {
         self.proposed.as_ref()
     }
 
-    /// Gives why the latest intent has no plan, if it was refused.
+    /// Returns the reason why the latest intent has no plan, if it was refused.
     #[must_use]
     pub fn plan_refusal(&self) -> Option<&PlanRefusal> {
         self.refused.as_ref()
     }
 
-    /// Gives the plan in force.
+    /// Returns the plan in force.
     #[must_use]
     pub fn plan_in_force(&self) -> Option<&PlanState> {
         self.in_force.as_ref()
     }
 
-    /// Gives a zone's lease.
+    /// Returns a zone's lease.
     #[must_use]
     pub fn lease(&self, zone: &ZoneName) -> Option<&Lease> {
         self.leases.get(zone)
     }
 
-    /// Gives the epoch of a zone's lease.
+    /// Returns the epoch of a zone's lease.
     #[must_use]
     pub fn epoch(&self, zone: &ZoneName) -> Option<Offset> {
         self.lease(zone).map(|l| l.epoch)
     }
 
-    /// Gives all leases by zone.
+    /// Iterates over all leases, in order of zone names.
     pub fn leases(&self) -> impl Iterator<Item = (&ZoneName, &Lease)> {
         self.leases.iter()
     }
 
-    /// Gives an endpoint.
+    /// Returns the endpoint of the given name.
     #[must_use]
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints.get(name)
     }
 
-    /// Gives all endpoints by name.
+    /// Iterates over all endpoints, in order of names.
     pub fn endpoints(&self) -> impl Iterator<Item = (&VmName, &Endpoint)> {
         self.endpoints.iter()
     }
 
-    /// Gives an order, if it is unsettled or not long past.
+    /// Returns an order, unless it was settled long ago and has been dropped.
     #[must_use]
     pub fn order(&self, offset: Offset) -> Option<&OrderState> {
         self.orders.get(&offset)
     }
 
-    /// Gives the orders that are remembered, the oldest first.
+    /// Iterates over the retained orders, oldest first.
     pub fn orders(&self) -> impl Iterator<Item = (Offset, &OrderState)> {
         self.orders.iter().map(|(k, o)| (*k, o))
     }
 
-    /// Gives how many loads and unloads took effect.
+    /// Returns the number of loads and unloads that took effect.
     #[must_use]
     pub fn moves_done(&self) -> u64 {
         self.moves_done
     }
 
-    /// Gives how many records were void, and how many could not be read.
+    /// Returns the number of void records and the number of records that could not be decoded.
     #[must_use]
     pub fn void_and_unread(&self) -> (u64, u64) {
         (self.void, self.unread)
     }
 
-    /// Gives the replicas that requests may go to: ready, in the version that the zone serves, on
-    /// endpoints that take work.
+    /// Iterates over the replicas that requests may be routed to: ready, in the version that the zone
+    /// serves, on endpoints that accept new work.
     pub fn routable(&self) -> impl Iterator<Item = (&VmName, AcceleratorIndex, &ModelVersion)> {
         self.endpoints
             .iter()
@@ -386,7 +385,7 @@
             })
     }
 
-    /// Gives the places of the replicas of one model that requests may go to.
+    /// Iterates over the accelerators that hold a routable replica of a model.
     pub fn ready_replicas<'a>(
         &'a self,
         model: &'a str,
@@ -404,13 +403,13 @@
             && self.served.get(&(zone.clone(), model.name.clone())) == Some(&model.version)
     }
 
-    /// Gives a replica.
+    /// Returns the replica of a model on an accelerator, whatever its state.
     #[must_use]
     pub fn replica(&self, place: &AcceleratorRef, model: &ModelVersion) -> Option<&Replica> {
         self.accelerator(place)?.replicas.get(model)
     }
 
-    /// Gives an accelerator.
+    /// Returns an accelerator.
     #[must_use]
     pub fn accelerator(&self, place: &AcceleratorRef) -> Option<&Accelerator> {
         self.endpoints
@@ -419,8 +418,8 @@
             .get(usize::from(place.accelerator))
     }
 
-    /// Gives the models of the confirmed intent that have fewer ready replicas than were asked for, in
-    /// the version that was asked for, with how many they have.
+    /// Iterates over the models of the confirmed intent that have fewer ready replicas of the requested
+    /// version than the intent asks for, each with the number that it has.
     pub fn underreplicated_models(&self) -> impl Iterator<Item = (&ModelIntent, usize)> {
         let mut ready: BTreeMap<(&ModelName, &SmolStr), usize> = BTreeMap::new();
         for (_, _, m) in self.routable() {
@@ -433,8 +432,8 @@
             .filter(|(m, ready)| *ready < usize::from(m.replicas))
     }
 
-    /// Tells whether the plan in force is carried out: every model has its replicas, at the planned
-    /// places or others; what was to go is gone; and no order's outcome is open.
+    /// Returns `true` if the plan in force is carried out: every model has its replicas, on the planned
+    /// accelerators or on others; all planned unloads are done; and no order is unsettled.
     #[must_use]
     pub fn is_carried_out(&self) -> bool {
         let Some(p) = &self.in_force else {
@@ -450,7 +449,7 @@
         !open && unloaded && self.underreplicated_models().next().is_none()
     }
 
-    /// Gives the targets of the plan in force that aren't ready now.
+    /// Iterates over the targets of the plan in force that aren't ready.
     pub fn missing_targets(&self) -> impl Iterator<Item = &Target> {
         let targets = self.in_force.iter().flat_map(|p| &p.plan.targets);
         targets.filter(|t| {
@@ -488,7 +487,7 @@
     )
 }
 
-/// Writes maps with keys that aren't text as lists of pairs, which JSON can carry.
+/// Serializes maps as lists of pairs, since JSON object keys have to be strings.
 mod pairs {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
