--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -1,4 +1,4 @@
-//! Whether an order would be admitted: the promises about memory and reachability.
+//! Admission of orders: the invariants on memory and reachability.
 
 use super::{Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Endpoint, Fleet, Presence, ReplicaState};
 use super::{has_ready, unknown, unknown_place};
@@ -13,11 +13,11 @@
 use std::collections::BTreeMap;
 
 impl Fleet {
-    /// Tells whether an order would be admitted if it stood next in the log.
+    /// Checks whether an order would take effect as the next record of the log.
     ///
     /// # Errors
     ///
-    /// The reason why it would be void.
+    /// Returns the reason why the order would be void.
     pub fn check_order(&self, at: LogTime, o: &OrderIssued) -> Result<()> {
         self.check_epoch(&o.zone, o.epoch)?;
         let e = self.check_endpoint(o)?;
@@ -33,7 +33,7 @@
             .ok_or_else(|| unknown_place(&o.place))?;
         match o.action {
             Action::Load => {
-                self.check_late(at, o, e)?;
+                self.check_duplicate_unload(at, o, e)?;
                 self.check_load(at, o, acc)
             }
             Action::Unload => self.check_unload(o, acc),
@@ -58,9 +58,9 @@
         known.ok_or_else(|| unknown("endpoint", &o.place.endpoint))
     }
 
-    /// Voids a load while a second copy of an earlier unload may still arrive and take the new
-    /// replica away. An endpoint that checks fencing numbers refuses the copy itself.
-    fn check_late(&self, at: LogTime, o: &OrderIssued, e: &Endpoint) -> Result<()> {
+    /// Rejects a load while a duplicate of an earlier unload may still arrive, since the duplicate would
+    /// remove the new replica. An endpoint that checks fencing numbers refuses the duplicate itself.
+    fn check_duplicate_unload(&self, at: LogTime, o: &OrderIssued, e: &Endpoint) -> Result<()> {
         if e.checks_fencing() {
             return Ok(());
         }
@@ -83,9 +83,9 @@
         .fail()
     }
 
-    /// Gives the bytes of models that aren't counted any more, but that a second copy of an earlier
-    /// load may still bring back.
-    fn may_come_back(&self, at: LogTime, place: &AcceleratorRef, acc: &Accelerator) -> u64 {
+    /// Returns the bytes of models that are no longer counted, but that a duplicate of an earlier load
+    /// may still load again.
+    fn duplicate_load_bytes(&self, at: LogTime, place: &AcceleratorRef, acc: &Accelerator) -> u64 {
         let checks = self
             .endpoint(place.endpoint.as_str())
             .is_some_and(Endpoint::checks_fencing);
@@ -105,7 +105,7 @@
     fn check_load(&self, at: LogTime, o: &OrderIssued, acc: &Accelerator) -> Result<()> {
         let intent = self.confirmed_model(&o.model)?;
         if acc.replicas.contains_key(&o.model) {
-            return already(o);
+            return already_in_state(o);
         }
         if self
             .endpoint(o.place.endpoint.as_str())
@@ -113,13 +113,13 @@
         {
             return Err(unknown("live endpoint", &o.place.endpoint));
         }
-        // The order's own figure must not undercut what operators confirmed.
+        // An order must not reserve less memory than the confirmed intent states for the model.
         let needed = o.bytes.max(intent.bytes);
-        let back = self.may_come_back(at, &o.place, acc);
-        let own = self.orders.values().any(|p| {
+        let duplicate_bytes = self.duplicate_load_bytes(at, &o.place, acc);
+        let is_own_duplicate = self.orders.values().any(|p| {
             p.action == Action::Load && p.place == o.place && p.model == o.model && p.may_arrive(at)
         });
-        let free = acc.free().saturating_sub(back) + if own { needed.min(back) } else { 0 };
+        let free = acc.free().saturating_sub(duplicate_bytes) + if is_own_duplicate { needed.min(duplicate_bytes) } else { 0 };
         if free < needed {
             let (endpoint, accelerator) = (o.place.endpoint.clone(), o.place.accelerator);
             return MemorySnafu {
@@ -145,7 +145,7 @@
             .get(&o.model)
             .is_some_and(|r| r.state == ReplicaState::Ready);
         if !ready {
-            return already(o);
+            return already_in_state(o);
         }
         let carries = acc
             .replicas
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Tells whether another replica of the order's model is surely ready elsewhere.
+    /// Returns `true` if a replica of the order's model is known to be ready on another accelerator.
     fn has_other_replica(&self, o: &OrderIssued) -> bool {
         self.ready_replicas(o.model.name.as_str())
             .any(|p| p != o.place)
@@ -191,7 +191,7 @@
     }
 }
 
-fn already(o: &OrderIssued) -> Result<()> {
+fn already_in_state(o: &OrderIssued) -> Result<()> {
     let (endpoint, accelerator) = (o.place.endpoint.clone(), o.place.accelerator);
     AlreadyInStateSnafu {
         model: o.model.name.clone(),
