--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -1,4 +1,4 @@
-//! How the records of the log change the fleet's state.
+//! Application of log records to the fleet's state.
 
 use super::{
     Accelerator, DEFAULT_MAX_ORDER_DELAY_MS, Effect, Endpoint, Fleet, HISTORY_LEN, Lease,
@@ -20,37 +20,37 @@
 
 /// Commands.
 impl Fleet {
-    /// Takes the next record of the log.
+    /// Applies the next record of the log.
     ///
     /// # Errors
     ///
-    /// The reason why the record is void. The offset moves on all the same, save for
+    /// Returns the reason why the record is void. The offset still advances, except for
     /// [`crate::Error::StaleOffset`], which changes nothing.
     pub fn apply(&mut self, offset: Offset, at: LogTime, record: &Record) -> Result<Effect> {
         self.advance(offset, at)?;
-        let res = self.apply_kind(offset, at, record);
+        let res = self.apply_record(offset, at, record);
         if res.is_err() {
             self.void += 1;
         }
         res
     }
 
-    /// Passes over a record that this release can't read, and counts it.
+    /// Skips a record that this release can't decode, and counts it.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::StaleOffset`] if the offset isn't after the one in force.
+    /// Returns [`crate::Error::StaleOffset`] if the offset isn't above that of the last applied record.
     pub fn skip_unreadable(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
         self.advance(offset, at)?;
         self.unread += 1;
         Ok(Effect::Nothing)
     }
 
-    /// Passes over a snapshot, which says nothing new to those who are up to date.
+    /// Skips a snapshot, which contains nothing new for a reader that is up to date.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::StaleOffset`] if the offset isn't after the one in force.
+    /// Returns [`crate::Error::StaleOffset`] if the offset isn't above that of the last applied record.
     pub fn skip_snapshot(&mut self, offset: Offset, at: LogTime) -> Result<Effect> {
         self.advance(offset, at)?;
         Ok(Effect::Nothing)
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    fn apply_kind(&mut self, offset: Offset, at: LogTime, record: &Record) -> Result<Effect> {
+    fn apply_record(&mut self, offset: Offset, at: LogTime, record: &Record) -> Result<Effect> {
         match record {
             Record::Intent(r) => self.apply_intent(offset, at, r),
             Record::IntentChange(r) => self.apply_intent_change(offset, at, r),
@@ -150,7 +150,7 @@
         Ok(Effect::Configuration)
     }
 
-    /// Refuses what answers an intent that isn't the latest any more.
+    /// Rejects a record that refers to an intent other than the latest one.
     fn check_latest(&self, intent: Offset) -> Result<()> {
         let Some(latest) = &self.latest else {
             return Err(unknown("intent", &intent));
@@ -169,7 +169,7 @@
 
     fn apply_answer(&mut self, offset: Offset, r: &Answer) -> Result<Effect> {
         let Some(p) = self.proposed.as_mut().filter(|p| p.offset == r.plan) else {
-            return Err(self.why_no_plan(r.plan));
+            return Err(self.no_plan_error(r.plan));
         };
         if let Some((kind, operator, by)) = &p.answer {
             let answer = match kind {
@@ -191,13 +191,13 @@
             state.plan.targets = merged_targets(self.in_force.as_ref(), &state.plan);
             self.in_force = Some(state);
             self.confirmed.clone_from(&self.latest);
-            self.note_all_ready();
+            self.update_all_served_versions();
         }
         Ok(Effect::Configuration)
     }
 
-    /// Explains an answer to a plan that doesn't stand, naming the intent that replaced it.
-    fn why_no_plan(&self, plan: Offset) -> crate::Error {
+    /// Returns the error for an answer to a plan that isn't proposed, naming the intent that replaced it.
+    fn no_plan_error(&self, plan: Offset) -> crate::Error {
         match &self.latest {
             Some(l) if l.offset > plan => IntentOvertakenSnafu {
                 intent: plan,
@@ -261,7 +261,7 @@
             };
             acc.replicas.insert(res.model.clone(), replica);
         }
-        let pending = self.carry_pending(&r.endpoint, &mut accelerators);
+        let pending = self.carry_over_pending(&r.endpoint, &mut accelerators);
         let endpoint = Endpoint {
             zone: r.zone.clone(),
             incarnation: r.incarnation,
@@ -274,14 +274,14 @@
         };
         self.endpoints.insert(r.endpoint.clone(), endpoint);
         for res in &r.residents {
-            self.note_ready(&r.zone, &res.model);
+            self.update_served_version(&r.zone, &res.model);
         }
         Ok(Effect::Endpoints)
     }
 
-    /// Keeps the reservation of an unsettled order over a restart of its endpoint, since the order
+    /// Carries the reservation of an unsettled order over a restart of its endpoint, since the order
     /// may still arrive at the new incarnation.
-    fn carry_pending(&self, name: &VmName, accelerators: &mut [Accelerator]) -> Option<Offset> {
+    fn carry_over_pending(&self, name: &VmName, accelerators: &mut [Accelerator]) -> Option<Offset> {
         let old = self.endpoints.get(name)?;
         let order = old.pending?;
         let o = self.orders.get(&order)?;
@@ -298,7 +298,7 @@
                 }
             }
             Action::Unload => {
-                // There may be nothing left to unload, but the order may still come.
+                // The replica may be gone already, but the order may still arrive.
                 if let Some(r) = acc.replicas.get_mut(&o.model) {
                     r.state = ReplicaState::Unloading(order);
                 }
@@ -380,7 +380,7 @@
             settled: None,
         };
         self.orders.insert(offset, order);
-        self.forget_old_orders(at);
+        self.drop_old_orders(at);
         Ok(Effect::Endpoints)
     }
 
@@ -389,7 +389,7 @@
         let open = self.orders.get(&r.order).filter(|o| o.settled.is_none());
         let Some(place) = open
             .map(|o| o.place.clone())
-            .filter(|p| self.is_in(&p.endpoint, &r.zone))
+            .filter(|p| self.is_in_zone(&p.endpoint, &r.zone))
         else {
             return Err(unknown("unsettled order", &r.order));
         };
@@ -419,13 +419,13 @@
             acc.replicas.remove(&model);
         } else if let Some(replica) = acc.replicas.get_mut(&model) {
             replica.state = ReplicaState::Ready;
-            self.note_ready(&r.zone, &model);
+            self.update_served_version(&r.zone, &model);
         }
         Ok(Effect::Endpoints)
     }
 
-    /// Voids a settlement by delay that the log's own time doesn't bear out: the holder's clock may
-    /// have stood still or run ahead.
+    /// Rejects a settlement by delay if too little log time has passed since the order: the lease
+    /// holder's clock may have stopped or run fast.
     fn check_delay(&self, at: LogTime, r: &OrderSettled) -> Result<()> {
         let Some(o) = self.orders.get(&r.order) else {
             return Ok(());
@@ -443,8 +443,8 @@
         .fail()
     }
 
-    /// Tells whether an endpoint is known in a zone.
-    fn is_in(&self, endpoint: &VmName, zone: &ZoneName) -> bool {
+    /// Returns `true` if an endpoint is known in a zone.
+    fn is_in_zone(&self, endpoint: &VmName, zone: &ZoneName) -> bool {
         self.endpoints
             .get(endpoint)
             .is_some_and(|e| e.zone == *zone)
@@ -452,13 +452,13 @@
 
     fn apply_lost(&mut self, r: &ReplicaLost) -> Result<Effect> {
         self.check_epoch(&r.zone, r.epoch)?;
-        if !self.is_in(&r.place.endpoint, &r.zone) {
+        if !self.is_in_zone(&r.place.endpoint, &r.zone) {
             return Err(unknown_place(&r.place));
         }
         let acc = self
             .accelerator_mut(&r.place)
             .ok_or_else(|| unknown_place(&r.place))?;
-        // A replica with an order on its way is settled by that order's outcome, not by a look.
+        // A replica with an unsettled order changes by that order's outcome, not by an observation.
         let ready = acc
             .replicas
             .get(&r.model)
@@ -477,7 +477,7 @@
             model,
             bytes,
         } = &r.resident;
-        if !self.is_in(&place.endpoint, &r.zone) {
+        if !self.is_in_zone(&place.endpoint, &r.zone) {
             return Err(unknown_place(place));
         }
         let base = self.base_of(&model.name);
@@ -487,7 +487,8 @@
         if acc.replicas.contains_key(model) {
             return Err(unknown("uncounted replica", &model.name));
         }
-        // It is there whether it fits or not: from here on no load is admitted until it does.
+        // The replica is present whether or not it fits. If it exceeds the capacity, no load is admitted
+        // until enough memory is free again.
         let state = ReplicaState::Ready;
         let replica = Replica {
             bytes: *bytes,
@@ -496,12 +497,13 @@
             last_order: None,
         };
         acc.replicas.insert(model.clone(), replica);
-        self.note_ready(&r.zone, model);
+        self.update_served_version(&r.zone, model);
         Ok(Effect::Endpoints)
     }
 
-    /// Notes that a replica is ready, and switches its zone to it if operators confirmed its version.
-    fn note_ready(&mut self, zone: &ZoneName, model: &ModelVersion) {
+    /// Switches a zone to the version of a replica that became ready, if operators confirmed that version
+    /// or the zone serves none yet.
+    fn update_served_version(&mut self, zone: &ZoneName, model: &ModelVersion) {
         let confirmed = self.confirmed_model(model).is_ok();
         let key = (zone.clone(), model.name.clone());
         if confirmed || !self.served.contains_key(&key) {
@@ -509,8 +511,8 @@
         }
     }
 
-    /// Switches zones to confirmed versions that were already there before the confirmation.
-    fn note_all_ready(&mut self) {
+    /// Switches zones to confirmed versions whose replicas were ready before the confirmation.
+    fn update_all_served_versions(&mut self) {
         let ready: Vec<(ZoneName, ModelVersion)> = self
             .endpoints
             .values()
@@ -520,7 +522,7 @@
             .map(|(e, (m, _))| (e.zone.clone(), m.clone()))
             .collect();
         for (zone, model) in ready {
-            self.note_ready(&zone, &model);
+            self.update_served_version(&zone, &model);
         }
     }
 
@@ -529,8 +531,8 @@
         e.accelerators.get_mut(usize::from(place.accelerator))
     }
 
-    /// Forgets settled orders that can't arrive any more, the oldest first.
-    fn forget_old_orders(&mut self, at: LogTime) {
+    /// Drops the oldest settled orders that can no longer arrive, down to [`HISTORY_LEN`] orders.
+    fn drop_old_orders(&mut self, at: LogTime) {
         let excess = self.orders.len().saturating_sub(HISTORY_LEN);
         let old: Vec<Offset> = self
             .orders
@@ -545,7 +547,8 @@
     }
 }
 
-/// Gives all targets once a plan is in force: its own, and those of its base that it doesn't change.
+/// Returns all targets of a plan that comes into force: its own, and those of its base for models that
+/// it doesn't change.
 fn merged_targets(base: Option<&PlanState>, plan: &Plan) -> Vec<Target> {
     let old = base.into_iter().flat_map(|p| &p.plan.targets);
     let kept = old.filter(|t| plan.changed.binary_search(&t.model.name).is_err());
