--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -1,118 +1,118 @@
-//! Follows the log from any point, over gaps that the log's retention leaves.
+//! Replays the log from any offset, across gaps left by the log's retention.
 //!
-//! The log forgets old records, so from time to time somebody appends a snapshot "state up to offset
-//! X". A reader that finds records missing before the first one that is kept waits for a snapshot
-//! that covers the gap; the records between X and the snapshot still apply
-//! (`docs/design/log-order.md`).
+//! The log drops old records, so processes append a snapshot of the state up to an offset X from time to
+//! time. A reader that misses records before the first retained one waits for a snapshot that covers the
+//! gap; the records between X and the snapshot still apply (`docs/design/log-order.md`).
 
 use crate::error::Result;
 use crate::fleet::{Effect, Fleet};
 use crate::id::{LogTime, Offset};
 use crate::record::{Content, Entry};
 
-/// After how many records a new snapshot is due, at least.
+/// The least number of records between two snapshots that are due by count.
 pub const SNAPSHOT_EVERY: u64 = 500;
 
-/// After how many records for each endpoint a new snapshot is due. A snapshot takes about as many
-/// bytes as this many records, so snapshots never make up more than half of the log
+/// The number of records per endpoint after which a snapshot is due. A snapshot takes about as many bytes
+/// as this many records per endpoint, so snapshots never make up more than half of the log
 /// (`docs/CAPACITY.md`).
 pub const SNAPSHOT_RECORDS_PER_ENDPOINT: u64 = 5;
 
-/// The most records that a reader holds back while it waits for a snapshot.
-const MAX_HELD: usize = 65_536;
+/// The maximum number of entries that a reader buffers while it waits for a snapshot.
+const MAX_BUFFERED: usize = 65_536;
 
-/// A fleet that follows the log.
+/// A [`Fleet`] that is kept up to date from the log.
 #[derive(Debug, Default)]
 pub struct Replay {
     fleet: Fleet,
-    /// Records after a gap, in order, until a snapshot covers it.
-    held: Vec<Entry>,
-    /// The offset that the last snapshot on the log reaches, and when it was appended.
+    /// Entries after a gap, in order, until a snapshot covers the gap.
+    buffered: Vec<Entry>,
+    /// The first offset that the log's last snapshot doesn't include, and the log time of its append.
     last_snapshot: Option<(Offset, LogTime)>,
 }
 
-/// What became of an entry that was applied.
+/// The offset of an applied entry and the result of applying it.
 pub type Applied = (Offset, Result<Effect>);
 
 impl Replay {
-    /// Gives the state.
+    /// Returns the state.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Gives the offset to read next.
+    /// Returns the offset of the next entry to read.
     #[must_use]
     pub fn next_to_read(&self) -> Offset {
-        self.held
+        self.buffered
             .last()
             .map_or_else(|| self.fleet.next_offset(), |e| e.offset.next())
     }
 
-    /// Tells whether records are missing and the state must not be taken for the newest.
+    /// Returns `true` if records are missing, so that the state is behind the entries that were read.
     #[must_use]
     pub fn has_gap(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffered.is_empty()
     }
 
-    /// Tells whether a snapshot should be appended now: so many records came since the last one, or
-    /// it is older than a third of the log's retention.
+    /// Returns `true` if a snapshot should be appended now: enough records came since the last one, or
+    /// the last one is older than a third of the log's retention.
     #[must_use]
     pub fn snapshot_is_due(&self, retention_ms: u64) -> bool {
         let next = self.fleet.next_offset();
-        let (covered, at) = self.last_snapshot.unwrap_or_default();
+        let (snapshot_next, at) = self.last_snapshot.unwrap_or_default();
         let endpoints = self.fleet.endpoints().count() as u64;
         let every = SNAPSHOT_EVERY.max(SNAPSHOT_RECORDS_PER_ENDPOINT * endpoints);
-        let many = next.0.saturating_sub(covered.0) >= every;
-        let some = next.0 > covered.0 + 1;
-        let old = self.fleet.at().millis_since(at) > retention_ms / 3;
-        !self.has_gap() && (many || some && old)
+        let enough_records = next.0.saturating_sub(snapshot_next.0) >= every;
+        let any_records = next.0 > snapshot_next.0 + 1;
+        let is_old = self.fleet.at().millis_since(at) > retention_ms / 3;
+        !self.has_gap() && (enough_records || any_records && is_old)
     }
 
-    /// Takes a snapshot from anywhere, a peer or the log. One that isn't ahead changes nothing, so
-    /// the state never goes backwards.
+    /// Replaces the state with a snapshot from a peer or from the log, if the snapshot is newer. An older
+    /// snapshot changes nothing, so the state never goes backwards.
     ///
-    /// Gives whether the state moved.
+    /// Returns `true` if the state was replaced.
     pub fn install_snapshot(&mut self, next: Offset, fleet: Fleet) -> bool {
-        let ahead = next > self.fleet.next_offset() && fleet.next_offset() == next;
-        if ahead {
+        let is_newer = next > self.fleet.next_offset() && fleet.next_offset() == next;
+        if is_newer {
             self.fleet = fleet;
         }
-        ahead
+        is_newer
     }
 
-    /// Takes the next entry of the log, and says what became of it and of those held back so far.
+    /// Consumes the next entry of the log. Returns the result of that entry, and of buffered ones, that
+    /// could be applied.
     pub fn push_entry(&mut self, entry: Entry) -> Vec<Applied> {
         if let Content::Snapshot { next, fleet } = &entry.content {
             self.last_snapshot = Some((*next, entry.at));
-            let behind = entry.offset > self.fleet.next_offset() || self.has_gap();
-            if behind && self.install_snapshot(*next, (**fleet).clone()) {
-                return self.release(entry);
+            let is_behind = entry.offset > self.fleet.next_offset() || self.has_gap();
+            if is_behind && self.install_snapshot(*next, (**fleet).clone()) {
+                return self.apply_buffered(entry);
             }
         }
         if self.has_gap() || entry.offset > self.fleet.next_offset() {
-            self.hold(entry);
+            self.buffer(entry);
             return Vec::new();
         }
         self.apply(&entry).into_iter().collect()
     }
 
-    /// Takes a snapshot from a peer, and applies what was held back beyond it.
+    /// Installs a snapshot from a peer, and applies the buffered entries that follow it.
     pub fn install_snapshot_and_replay(&mut self, next: Offset, fleet: Fleet) -> Vec<Applied> {
         if !self.install_snapshot(next, fleet) {
             return Vec::new();
         }
-        let held = std::mem::take(&mut self.held);
-        held.into_iter().flat_map(|e| self.push_entry(e)).collect()
+        let buffered = std::mem::take(&mut self.buffered);
+        buffered.into_iter().flat_map(|e| self.push_entry(e)).collect()
     }
 
-    fn release(&mut self, last: Entry) -> Vec<Applied> {
-        let mut held = std::mem::take(&mut self.held);
-        held.push(last);
+    fn apply_buffered(&mut self, last: Entry) -> Vec<Applied> {
+        let mut buffered = std::mem::take(&mut self.buffered);
+        buffered.push(last);
         let mut out = Vec::new();
-        for e in held {
+        for e in buffered {
             if e.offset > self.fleet.next_offset() {
-                self.hold(e);
+                self.buffer(e);
             } else {
                 out.extend(self.apply(&e));
             }
@@ -120,11 +120,11 @@
         out
     }
 
-    fn hold(&mut self, entry: Entry) {
-        if self.held.len() >= MAX_HELD {
-            self.held.remove(0);
+    fn buffer(&mut self, entry: Entry) {
+        if self.buffered.len() >= MAX_BUFFERED {
+            self.buffered.remove(0);
         }
-        self.held.push(entry);
+        self.buffered.push(entry);
     }
 
     fn apply(&mut self, e: &Entry) -> Option<Applied> {
