--- a/crates/limehollow/src/plan.rs
+++ b/crates/limehollow/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan that answers an intent, and its steps.
+//! A plan for carrying out an intent, and its steps.
 
 use crate::id::{AcceleratorIndex, ModelName, Offset, VmName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 /// A model in one version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ModelVersion {
-    /// The name that callers give.
+    /// The name that callers use.
     pub name: ModelName,
     /// The version.
     pub version: SmolStr,
@@ -22,18 +22,18 @@
     pub accelerator: AcceleratorIndex,
 }
 
-/// What an order does to a model on an accelerator.
+/// The operation of an order or a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Action {
-    /// Loads it.
+    /// Loads the model.
     Load,
-    /// Drains and unloads it.
+    /// Drains and unloads the model.
     Unload,
 }
 
 impl Action {
-    /// Gives the word that pages and messages use.
+    /// Returns the name that is used in pages and messages.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -43,68 +43,69 @@
     }
 }
 
-/// One change to one accelerator. Each step is one move.
+/// One load or unload on one accelerator. Each step counts as one move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// The zone whose lease holder carries it out.
+    /// The zone whose lease holder carries out the step.
     pub zone: ZoneName,
-    /// Where.
+    /// The accelerator that changes.
     pub place: AcceleratorRef,
-    /// What is done.
+    /// Whether the model is loaded or unloaded.
     pub action: Action,
-    /// To which model.
+    /// The model to load or unload.
     pub model: ModelVersion,
-    /// Memory that it takes or frees, in bytes.
+    /// The memory that the step takes or frees, in bytes.
     pub bytes: u64,
 }
 
-/// One replica that stands when the plan is carried out.
+/// One replica that exists once the plan is carried out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Target {
     /// The zone of the endpoint.
     pub zone: ZoneName,
-    /// Where.
+    /// The accelerator that holds the replica.
     pub place: AcceleratorRef,
-    /// Which model.
+    /// The model of the replica.
     pub model: ModelVersion,
 }
 
-/// The answer to an intent that operators confirm or reject.
+/// A controller's proposal for carrying out an intent, which operators confirm or reject.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The intent that it answers.
+    /// The offset of the intent that the plan carries out.
     pub intent: Offset,
-    /// The offset of the fleet's state that it was made from.
+    /// The offset of the fleet's state from which the plan was computed.
     pub made_at: Offset,
-    /// The plan in force that it builds on: what it doesn't name stays as that one says.
+    /// The offset of the plan in force that this plan builds on. The targets of models that this plan
+    /// doesn't change stay those of the base.
     pub base: Option<Offset>,
-    /// The models whose replicas differ from the base's, or that go.
+    /// The models whose targets differ from the base's, and the models that are removed.
     pub changed: Vec<ModelName>,
-    /// The replicas of the changed models that stand in the end, in order.
+    /// The final replicas of the changed models, sorted.
     pub targets: Vec<Target>,
-    /// The changes, in an order that fits in memory and keeps models reachable.
+    /// The loads and unloads, in an order that fits in memory and keeps models reachable.
     pub steps: Vec<Step>,
 }
 
 impl Plan {
-    /// Counts the moves of the plan: every load and unload is one.
+    /// Returns the number of moves of the plan: every load and every unload is one.
     #[must_use]
     pub fn moves(&self) -> usize {
         self.steps.len()
     }
 }
 
-/// Memory of one accelerator before a plan, at its peak and after it, in bytes.
+/// The memory use of one accelerator before, during and after a plan, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryUse {
     /// The accelerator.
     pub place: AcceleratorRef,
-    /// What it has.
+    /// The accelerator's memory.
     pub capacity: u64,
-    /// What is reserved before the first step.
+    /// The bytes reserved before the first step.
     pub before: u64,
-    /// The most that is reserved while the steps run.
+    /// The most bytes reserved while the steps run.
     pub peak: u64,
-    /// What is reserved after the last step.
+    /// The bytes reserved after the last step.
     pub after: u64,
 }
