--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -1,9 +1,9 @@
-//! What the holder of a zone's lease does: it finds endpoints, gives orders and settles them.
+//! The driver of a zone's lease holder: it discovers endpoints, issues orders and settles them.
 //!
-//! An order is written to the log before it is sent, and it is sent only if the fold of the log
-//! admitted it. So whatever a paused holder may still send after it wakes is known to its successor
+//! An order is appended to the log before it is sent, and it is sent only if [`Fleet`] admitted the
+//! record. So every order that a paused holder may send after it resumes is known to its successor
 //! (`docs/design/two-sided-accounting.md`). An order whose outcome isn't known stays unsettled until
-//! there is evidence; hope is none.
+//! there is evidence for an outcome.
 
 mod choose;
 mod find;
@@ -21,29 +21,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the whole fleet is gone through while nothing changes.
+/// The interval between two evaluations of the whole fleet while nothing changes.
 const ROUND_EVERY: Duration = Duration::from_secs(1);
 
-/// The times and counts that a driver goes by.
+/// The timeouts and limits of a driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// By how much what an endpoint reports may be out of date.
+    /// The longest time by which an endpoint's report may be out of date.
     pub report_lag: Duration,
-    /// The longest time that an order may still arrive after it was written down.
+    /// The longest time after which a sent order may still arrive at its endpoint.
     pub max_order_delay: Duration,
-    /// How long an accepted order may show no effect before its outcome counts as in doubt.
+    /// How long an accepted order may show no effect before its outcome counts as unknown.
     pub effect_timeout: Duration,
-    /// How long an endpoint may fail to answer before it counts as gone.
+    /// How long an endpoint may fail to answer polls before it counts as gone.
     pub dead_after: Duration,
-    /// How long a lost replica is waited for before another accelerator takes its place.
+    /// How long a lost replica may take to come back before it is loaded on another accelerator.
     pub repair_after: Duration,
-    /// How long a plan waits for endpoints that are listed but weren't seen yet.
+    /// How long a plan waits for endpoints that are listed but not recorded in the log yet.
     pub plan_timeout: Duration,
-    /// Within what time gateways stop sending to a replica that the log withdraws.
+    /// The time within which gateways stop routing to a replica that an order unloads.
     pub withdrawal_delay: Duration,
-    /// How often each endpoint is looked at.
+    /// The interval between two polls of an endpoint.
     pub poll_interval: Duration,
-    /// How many loads the zone has under way at once.
+    /// The maximum number of loads in progress in the zone.
     pub max_loads: usize,
 }
 
@@ -63,66 +63,66 @@
     }
 }
 
-/// What the process is to do for the driver.
+/// An action that the process carries out for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Append this record to the log, read on to its offset, then ask the driver again.
+    /// Append the record to the log, read up to its offset, then call [`Driver::step`] again.
     Append(Record),
     /// Send an order that the log admitted.
     Send(Order),
-    /// Tell an endpoint to refuse all orders with a lower number.
+    /// Make an endpoint refuse all orders with a lower number.
     Fence {
         /// The endpoint.
         endpoint: VmName,
-        /// Where it listens.
+        /// The address that the endpoint listens on.
         address: SmolStr,
-        /// The number.
+        /// The lowest order number that the endpoint still accepts.
         number: Offset,
     },
     /// Poll an endpoint for its state.
     Poll {
         /// The endpoint.
         endpoint: VmName,
-        /// Where it listens.
+        /// The address that the endpoint listens on.
         address: SmolStr,
     },
 }
 
-/// An order as it is sent.
+/// An order as it is sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Its number and fencing number.
+    /// The order's number, which is also its fencing number.
     pub number: Offset,
-    /// Where it goes.
+    /// The address of the endpoint.
     pub address: SmolStr,
-    /// The place on the endpoint.
+    /// The accelerator that the order applies to.
     pub place: AcceleratorRef,
-    /// What is to be done.
+    /// Whether to load or unload the model.
     pub action: Action,
-    /// To which model.
+    /// The model to load or unload.
     pub model: ModelVersion,
-    /// Its memory, in bytes.
+    /// The accelerator memory that the model takes, in bytes.
     pub bytes: u64,
 }
 
-/// How sending an order ended.
+/// The result of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// The endpoint took it; its effect is still to be seen.
+    /// The endpoint accepted the order; the effect isn't observed yet.
     Accepted,
-    /// The endpoint refused it, so it never takes effect.
+    /// The endpoint refused the order, so it never takes effect.
     Refused,
-    /// No byte of it left.
+    /// No byte of the order was sent.
     NeverSent,
-    /// Nothing is known.
+    /// No answer came, so it isn't known whether the endpoint received the order.
     Lost,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sent {
-    /// The call is under way.
+    /// The call is in progress.
     Sending,
-    /// The call ended, at that time.
+    /// The call ended with the result, at the given time.
     Ended(SendResult, Instant),
 }
 
@@ -132,14 +132,14 @@
     next_look: Option<Instant>,
     look: Option<Look>,
     failing_since: Option<Instant>,
-    /// When this process last told the log that the endpoint is gone.
+    /// When this process last recorded the endpoint as gone.
     departed: Option<Instant>,
     fencing: bool,
-    /// The number that this incarnation was fenced with, and when it agreed.
+    /// The incarnation that was fenced, the fencing number, and the time of the answer.
     fenced: Option<(Incarnation, Offset, Instant)>,
-    /// When a ready replica was first missed, by place and model.
+    /// When a ready replica was first absent from an observation, by accelerator and model.
     missed: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
-    /// When a model that the log doesn't know was first seen, by place and model.
+    /// When a replica that isn't in the log's state was first observed, by accelerator and model.
     strays: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
 }
 
@@ -155,25 +155,25 @@
     unlisted_since: BTreeMap<VmName, Instant>,
     watches: BTreeMap<VmName, Watch>,
     sent: BTreeMap<Offset, Sent>,
-    /// When this process first saw each unsettled order.
+    /// When this process first read each unsettled order.
     first_seen: BTreeMap<Offset, Instant>,
-    /// Since when this process has held the lease.
+    /// The time at which this process acquired the lease.
     held_since: Option<Instant>,
-    /// Since when the sender of an unsettled order can't send it any more.
+    /// The time since which the sender of an unsettled order can no longer send it.
     released: BTreeMap<Offset, Instant>,
     intent_seen: Option<(Offset, Instant)>,
-    /// The next offset and when it was first seen, for estimating the log's time.
+    /// The next offset and when it was first seen, used to estimate the log time.
     last_record: Option<(Offset, Instant)>,
     demand: Demand,
-    /// Whether something came in that a whole round has to consider.
+    /// Whether an event came in that requires an evaluation of the whole fleet.
     news: bool,
-    /// The next offset and the time of the last whole round.
+    /// The next offset and the time of the last evaluation of the whole fleet.
     last_round: Option<(Offset, Instant)>,
 }
 
 /// Events.
 impl Driver {
-    /// Makes the driver of one controller.
+    /// Creates the driver of one controller.
     #[must_use]
     pub fn new(zone: ZoneName, me: VmName, incarnation: Incarnation, rules: Rules) -> Self {
         Self {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Takes in the platform's membership list.
+    /// Handles a new version of the platform's membership list.
     pub fn on_list(&mut self, now: Instant, rows: Vec<Listed>) {
         self.news = true;
         let names: BTreeSet<VmName> = rows.iter().map(|l| l.vm.clone()).collect();
@@ -209,7 +209,7 @@
         self.list_known = true;
     }
 
-    /// Takes in a look at an endpoint, or nothing if it did not answer.
+    /// Handles the result of a poll: an observation of the endpoint, or `None` if it didn't answer.
     pub fn on_observation(&mut self, now: Instant, endpoint: &VmName, look: Option<Look>) {
         let w = self.watches.entry(endpoint.clone()).or_default();
         w.looking = false;
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Takes in the answer to a fence: the endpoint's incarnation, or nothing if it did not agree.
+    /// Handles the answer to a fence: the endpoint's incarnation, or `None` if it didn't agree.
     pub fn on_fenced(
         &mut self,
         now: Instant,
@@ -246,7 +246,7 @@
         w.fencing = false;
         self.news = true;
         let Some(i) = incarnation else { return };
-        // A fence that says nothing new must not make the looks since the first one count as old.
+        // A repeated fence must not invalidate the observations made since the first one.
         if w.fenced.is_some_and(|(j, n, _)| i == j && n >= number) {
             return;
         }
@@ -254,7 +254,7 @@
         w.next_look = Some(now);
     }
 
-    /// Takes in how many requests for a model a second a gateway of the zone had to refuse.
+    /// Handles a report of the requests per second for a model that a gateway of the zone had to refuse.
     pub fn on_unmet_demand(
         &mut self,
         now: Instant,
@@ -265,7 +265,7 @@
         self.demand.hear(now, from, model, per_second);
     }
 
-    /// Takes in how sending an order ended.
+    /// Handles the result of sending an order.
     pub fn on_send_result(&mut self, now: Instant, order: Offset, res: SendResult) {
         self.news = true;
         self.sent.insert(order, Sent::Ended(res, now));
@@ -274,7 +274,7 @@
 
 /// Decisions.
 impl Driver {
-    /// Gives what is to be done now.
+    /// Returns the commands to carry out now.
     pub fn step(&mut self, now: Instant, fleet: &Fleet, peers: &Membership) -> Vec<Command> {
         let mine = fleet
             .lease(&self.zone)
@@ -309,7 +309,7 @@
         out
     }
 
-    /// Forgets what only a holder may rely on.
+    /// Resets the state that is valid only while this process holds the lease.
     fn stand_by(&mut self) {
         self.sent.clear();
         self.first_seen.clear();
@@ -322,9 +322,9 @@
         }
     }
 
-    /// Tells whether anything has changed since the last whole round, or that one is long past. A
-    /// round looks at the whole fleet, which at the size to come costs milliseconds
-    /// (`docs/CAPACITY.md`).
+    /// Returns `true` if something changed since the last evaluation of the whole fleet, or if
+    /// [`ROUND_EVERY`] has passed. An evaluation takes milliseconds at the fleet size that is planned for
+    /// (`docs/CAPACITY.md`), so it doesn't run at every step.
     fn has_news(&mut self, now: Instant, fleet: &Fleet) -> bool {
         let next = fleet.next_offset();
         let same = self
@@ -338,8 +338,9 @@
         true
     }
 
-    /// Estimates the log's time from the last record and the time since it was read. It is never
-    /// ahead of the true one by more than the clocks' drift, and the log itself has the last word.
+    /// Estimates the log time from the last record and the time since it was read. The estimate is ahead
+    /// of the true log time by no more than the clocks' drift, and the log checks each record against its
+    /// own time.
     fn log_time(&mut self, now: Instant, fleet: &Fleet) -> LogTime {
         let next = fleet.next_offset();
         let since = match self.last_record {
