--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -1,4 +1,4 @@
-//! Which plans are proposed and which orders come next: steps of the plan in force, then repairs.
+//! Choice of plans and orders: steps of the plan in force first, then repairs.
 
 use super::{Command, Driver};
 use crate::fleet::{Accelerator, Endpoint, Fleet, Presence, ReplicaState};
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Proposes a plan for the latest intent, or says why there is none.
+    /// Appends a plan for the latest intent, or the reason why there is none.
     pub(super) fn answer_intent(&mut self, now: Instant, fleet: &Fleet, out: &mut Vec<Command>) {
         let Some(latest) = fleet.latest_intent() else {
             return;
@@ -29,7 +29,8 @@
                 now
             }
         };
-        // The holders of several zones wait for each other, the first in order of zones not at all.
+        // Holders are staggered by the order of their zones, so that only one of them proposes a plan. The
+        // first one doesn't wait.
         let rank = fleet.leases().take_while(|(z, _)| **z != self.zone).count();
         let turn = since + self.rules.plan_timeout / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
         let complete = self.all_listed_are_seen(fleet);
@@ -57,7 +58,8 @@
         self.list_known && engines.all(|l| l.leaving || fleet.endpoint(l.vm.as_str()).is_some())
     }
 
-    /// Gives the next orders: steps of the plan in force in their order, then repairs.
+    /// Appends the next orders: steps of the plan in force in their order, then repairs, then additional
+    /// replicas for models in demand. Returns the models that get an additional replica.
     pub(super) fn next_orders(
         &self,
         now: Instant,
@@ -91,8 +93,8 @@
         added
     }
 
-    /// Adds a replica in this zone for models whose demand lasts, and gives those models. Where there
-    /// is no room, a replica beyond what was asked for, of a model that doesn't want it, makes some.
+    /// Adds a replica in this zone for each model with lasting demand, and returns the models that get one.
+    /// If no accelerator has enough memory, a surplus replica of a model without demand is unloaded.
     fn meet_demand(
         &self,
         fleet: &Fleet,
@@ -104,7 +106,7 @@
         };
         let mut added = Vec::new();
         for m in wanting.iter().filter_map(|n| intent.model(n.as_str())) {
-            // What was asked for comes first; until it is there, more would only be in its way.
+            // The replicas that the intent asks for come first: additional ones would compete with them.
             if self.replicas_in_reach(fleet, &m.name) < usize::from(m.replicas) {
                 continue;
             }
@@ -122,7 +124,7 @@
         added
     }
 
-    /// Unloads one replica beyond what was asked for, if that makes enough room.
+    /// Unloads one replica beyond what the intent asks for, if that frees enough memory.
     fn make_room(
         &self,
         fleet: &Fleet,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Gives models whose place is gone for good another one in this zone.
+    /// Loads models whose accelerator is lost on another accelerator of this zone.
     fn substitute(&self, now: Instant, fleet: &Fleet, round: &mut Round<'_>) {
         let Some(intent) = fleet.confirmed_intent().map(|p| &p.intent) else {
             return;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Tells whether a place won't come back soon.
+    /// Returns `true` if an accelerator isn't expected to come back soon.
     fn is_lost(&self, now: Instant, fleet: &Fleet, place: &AcceleratorRef) -> bool {
         let presence = fleet.endpoint(place.endpoint.as_str()).map(|e| e.presence);
         if presence == Some(Presence::Leaving) {
@@ -192,8 +194,8 @@
         (gone || unlisted.is_some()) && long
     }
 
-    /// Tells whether this zone mends a lost target: its own zone does if it still has endpoints,
-    /// else the one that a hash of the model names among the others.
+    /// Returns `true` if this zone replaces a lost target. The target's own zone does if it still has
+    /// engines, else one of the other zones, chosen by rendezvous hashing of the model's name.
     fn is_mine_to_mend(&self, fleet: &Fleet, t: &crate::plan::Target) -> bool {
         let has_room = |z: &ZoneName| {
             let mut there = self.in_reach(fleet);
@@ -207,8 +209,8 @@
         owner == Some(&self.zone)
     }
 
-    /// Gives the endpoints of all zones that take work, as far as the platform's list knows them. Where
-    /// a whole zone is lost nobody is left to tell the log.
+    /// Iterates over the endpoints of all zones that accept work and are on the platform's list. The list
+    /// is checked as well, since no lease holder is left to record the loss of a whole zone in the log.
     fn in_reach<'f>(&'f self, fleet: &'f Fleet) -> impl Iterator<Item = &'f Endpoint> {
         fleet
             .endpoints()
@@ -218,7 +220,7 @@
             .map(|(_, e)| e)
     }
 
-    /// Counts the replicas of a model that are ready or being loaded in reach.
+    /// Returns the number of replicas of a model that are present or being loaded on available endpoints.
     fn replicas_in_reach(&self, fleet: &Fleet, name: &ModelName) -> usize {
         self.in_reach(fleet)
             .flat_map(|e| &e.accelerators)
@@ -226,8 +228,8 @@
             .count()
     }
 
-    /// Tells whether a model would still be ready somewhere without one of its replicas. The log's rule
-    /// counts endpoints that are off the platform's list too, so the holder is stricter than it.
+    /// Returns `true` if a model stays ready somewhere without one of its replicas. The log's own check also
+    /// counts endpoints that are off the platform's list, so this check is stricter.
     fn stays_reachable(
         &self,
         fleet: &Fleet,
@@ -245,7 +247,7 @@
         })
     }
 
-    /// Gives the accelerators of the own zone's endpoints that take work.
+    /// Iterates over the accelerators of the own zone's endpoints that accept work.
     fn own_accelerators<'f>(
         &'f self,
         fleet: &'f Fleet,
@@ -288,7 +290,7 @@
     }
 }
 
-/// One round of choosing orders.
+/// One evaluation of the fleet that chooses the next orders.
 struct Round<'a> {
     driver: &'a Driver,
     fleet: &'a Fleet,
@@ -296,8 +298,8 @@
     at: LogTime,
     loads: usize,
     busy: HashSet<VmName>,
-    /// Models and places with an earlier step that isn't done: later steps wait, so that the order
-    /// that the plan proved is kept also when zones go at different speeds.
+    /// Models and accelerators with an earlier step that isn't done. Later steps on them wait, so that the
+    /// order that the plan was checked in is kept even if zones progress at different speeds.
     blocked_models: HashSet<&'a ModelName>,
     blocked_places: HashSet<&'a AcceleratorRef>,
     unloads: HashSet<(&'a AcceleratorRef, &'a ModelVersion)>,
@@ -353,7 +355,7 @@
         }
     }
 
-    /// Considers a replica that stood before the plan, was to stay, and is missing now.
+    /// Issues a load for a target that the plan keeps unchanged and that is missing now.
     fn consider_target(
         &mut self,
         zone: &ZoneName,
@@ -381,8 +383,8 @@
         );
     }
 
-    /// Tells whether a model has all its replicas, perhaps at other places than planned. Then a lost
-    /// one isn't loaded again: that would be a move for nothing.
+    /// Returns `true` if a model has all its replicas, on the planned accelerators or on others. In that
+    /// case a lost replica isn't loaded again, since the move would bring nothing.
     fn has_enough(&self, model: &ModelName) -> bool {
         let intent = self
             .fleet
@@ -393,7 +395,7 @@
         })
     }
 
-    /// Unloads models that nobody ordered and nobody needs.
+    /// Unloads replicas that no order explains and that exceed what the intent asks for.
     fn clear_strays(&mut self) {
         let mine = self
             .fleet
@@ -425,7 +427,7 @@
         }
     }
 
-    /// Tells whether a model has more replicas than are wanted, or isn't wanted at all.
+    /// Returns `true` if a model has more replicas than the intent asks for, or isn't part of the intent.
     fn has_more_than_enough(&self, model: &ModelName) -> bool {
         let intent = self
             .fleet
