--- a/crates/limehollow/src/order/find.rs
+++ b/crates/limehollow/src/order/find.rs
@@ -1,4 +1,4 @@
-//! What the endpoints of the zone are and hold, told to the log when it differs.
+//! Discovery: records differences between the observed endpoints of the zone and the log's state.
 
 use super::{Command, Driver};
 use crate::fleet::{Fleet, Presence, ReplicaState};
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Orders looks: each endpoint in turn, those with an open order twice as often.
+    /// Polls each listed endpoint of the zone, those with an unsettled order twice as often.
     pub(super) fn look_around(&mut self, now: Instant, fleet: &Fleet, out: &mut Vec<Command>) {
         let rows: Vec<(VmName, SmolStr)> = self
             .own_listed()
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tells the log of endpoints that are listed, answer, and aren't known as they are now.
+    /// Records endpoints that are listed, answer polls, and differ from the log's state.
     pub(super) fn find_endpoints(&mut self, fleet: &Fleet, epoch: Offset, out: &mut Vec<Command>) {
         let rows: Vec<Listed> = self.own_listed().filter(|l| !l.leaving).cloned().collect();
         for l in rows {
@@ -78,8 +78,9 @@
                 }
                 continue;
             }
-            // What the look shows must be from after the fence, or an old order may have come between;
-            // and from after the last order that could settle here before it went.
+            // The observation must begin after the fence, or an old order may have arrived in between. It
+            // must also begin after the departure was recorded and after this process acquired the lease,
+            // so that it shows the effect of every order that was settled before.
             let since = [self.held_since, w.departed, fenced.map(|(.., at)| at)];
             let since = since.into_iter().flatten().max();
             if since.is_some_and(|t| look.began < t + self.rules.report_lag) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Tells the log of endpoints that leave or don't answer any more.
+    /// Records endpoints that are leaving, are off the list or don't answer polls any more.
     pub(super) fn find_departures(
         &mut self,
         now: Instant,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Tells the log of ready replicas that looks no longer show. One look isn't enough, since it
-    /// may be older than the load.
+    /// Records ready replicas that observations no longer show. A single observation isn't enough, since
+    /// it may be older than the load.
     pub(super) fn find_losses(
         &mut self,
         now: Instant,
@@ -188,8 +189,8 @@
         }
     }
 
-    /// Tells the log of models that looks keep showing and that it doesn't know: a second copy of an
-    /// old load, or an order of somebody else. Their memory has to count.
+    /// Records models that observations keep showing and that aren't in the log's state. They come from a
+    /// duplicate of an old load or from an order of another client, and their memory has to be counted.
     pub(super) fn find_strays(
         &mut self,
         now: Instant,
@@ -230,7 +231,7 @@
     }
 }
 
-/// Joins what the list says of an endpoint with what a look showed.
+/// Combines an endpoint's kind on the membership list with the observed one.
 fn kind_of(listed: &ListedKind, looked: &EndpointKind) -> EndpointKind {
     match (listed, looked) {
         (ListedKind::Engine { checks_fencing }, EndpointKind::Engine { accelerators, .. }) => {
