--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -1,4 +1,4 @@
-//! What became of orders: which evidence settles one, and which doesn't.
+//! Settlement of orders: the evidence that establishes an order's outcome.
 
 use super::{Command, Driver, Order, SendResult, Sent};
 use crate::fleet::{Fleet, OrderState, Presence};
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Sends orders that were just admitted, and settles those whose outcome is known.
+    /// Sends newly admitted orders, and settles orders whose outcome is known.
     pub(super) fn settle(
         &mut self,
         now: Instant,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Tells whether a replica that is to be unloaded has no request any more: gateways have had the
-    /// time to stop sending, and a look that began after that shows none.
+    /// Returns `true` if a replica that is to be unloaded runs no request any more: gateways have had the
+    /// time to stop routing to it, and an observation that began after that shows no request.
     fn is_drained(&self, number: Offset, o: &OrderState) -> bool {
         let since = self.first_seen[&number] + self.rules.withdrawal_delay;
         let w = self
@@ -69,7 +69,7 @@
             .any(|(m, n)| *m == o.model.name && *n > 0)
     }
 
-    /// Gives the outcome of an open order if there is evidence for it.
+    /// Returns the outcome of an unsettled order if there is evidence for it.
     #[expect(
         clippy::too_many_arguments,
         reason = "each is a different source of evidence"
@@ -101,7 +101,7 @@
         let e = fleet.endpoint(o.place.endpoint.as_str())?;
         let released = ended.is_some() || self.sender_is_gone(o, epoch, peers);
         if e.presence == Presence::Gone {
-            // Nothing can be seen there any more. What it holds is looked at anew if it comes back.
+            // The endpoint can't be observed any more. Its replicas are recorded anew if it comes back.
             let waited = self.has_waited(now, number, ended.map(|(_, at)| at), released);
             return waited.then_some((Outcome::NotDone, Evidence::DelayPassed));
         }
@@ -129,7 +129,7 @@
         )
     }
 
-    /// Settles an order at an endpoint that refuses old numbers: fence it, then look.
+    /// Settles an order at an endpoint that checks fencing numbers: fence it, then observe it.
     fn outcome_fenced(
         &mut self,
         number: Offset,
@@ -144,7 +144,7 @@
             .fenced
             .filter(|(i, n, _)| *i == incarnation && *n > number);
         let Some((_, _, at)) = fenced else {
-            // A restarted endpoint is fenced when it is found anew, not for the sake of this order.
+            // A restarted endpoint is fenced when it is discovered, not in order to settle this order.
             let same = w
                 .look
                 .as_ref()
@@ -167,9 +167,9 @@
         Some((effect(o, look), Evidence::Fenced))
     }
 
-    /// Settles an order at an endpoint that takes any: either its effect is seen, or the longest
-    /// delay has passed since its sender was known to be gone. The delay doesn't count from the
-    /// order's own time, since a paused sender may send it whenever it wakes.
+    /// Settles an order at an endpoint that doesn't check fencing numbers: either the effect is observed,
+    /// or the longest delay has passed since the sender was known to be gone. The delay doesn't count from
+    /// the order's own time, since a paused sender may send the order whenever it resumes.
     fn outcome_unfenced(
         &mut self,
         now: Instant,
@@ -191,7 +191,7 @@
         waited.then_some((Outcome::NotDone, Evidence::DelayPassed))
     }
 
-    /// Tells whether the longest delay has passed since nobody could send an order any more.
+    /// Returns `true` if the longest delay has passed since no process could send the order any more.
     fn has_waited(
         &mut self,
         now: Instant,
@@ -206,11 +206,12 @@
         since.is_some_and(|t| now >= *t + self.rules.max_order_delay)
     }
 
-    /// Tells whether the process that may send an order surely won't any more: it has another
-    /// incarnation, it is off the platform's list, or it has itself read past the takeover.
+    /// Returns `true` if the process that may send an order is certain not to send it any more: it has a
+    /// later incarnation, it is off the platform's list, or it has itself read past the takeover.
     fn sender_is_gone(&self, o: &OrderState, epoch: Offset, peers: &Membership) -> bool {
         let (vm, incarnation) = &o.sender;
-        // An earlier epoch of this process, or an earlier life of it: either way it is past.
+        // The sender is this process under an earlier epoch, or an earlier incarnation of it: in both cases
+        // it won't send the order any more.
         if *vm == self.me {
             return true;
         }
@@ -222,7 +223,7 @@
         off_list || h.incarnation > *incarnation || read_takeover
     }
 
-    /// Gives the last look at an endpoint if nothing in it can be older than `since`.
+    /// Returns the last observation of an endpoint if no part of it can be older than `since`.
     fn fresh_look(&self, vm: &VmName, incarnation: Incarnation, since: Instant) -> Option<&Look> {
         let look = self.watches.get(vm)?.look.as_ref()?;
         let fresh = look.began >= since + self.rules.report_lag;
@@ -243,7 +244,7 @@
     }
 }
 
-/// Reads the outcome of an order off a look that surely shows it.
+/// Returns the outcome of an order as shown by an observation that is newer than the order.
 fn effect(o: &OrderState, look: &Look) -> Outcome {
     if look.has(&o.place, &o.model) == (o.action == Action::Load) {
         return Outcome::Done;
