--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -11,7 +11,7 @@
 use crate::site::Site;
 use limehollow::id::ZoneName;
 use limehollow::log_position::LogPosition;
-use limehollow::start_tree::Giver;
+use limehollow::start_tree::Parent;
 use limehollow_wire::gossip::{About, Introduction, Member, Members, Reply, State};
 use rand::seq::SliceRandom;
 use smol_str::{SmolStr, format_smolstr};
@@ -284,8 +284,8 @@
         site.vm_unlisted.notify_one();
     }
     Reply::Giver(match giver {
-        Giver::Me => None,
-        Giver::Other(a) => Some(a),
+        Parent::AskedVm => None,
+        Parent::Other(a) => Some(a),
     })
 }
 
--- a/crates/limehollow/src/start_tree.rs
+++ b/crates/limehollow/src/start_tree.rs
@@ -8,17 +8,17 @@
 //!
 //! ```
 //! use limehollow::log_position::LogPosition;
-//! use limehollow::start_tree::{FANOUT, Giver, StartTree};
+//! use limehollow::start_tree::{FANOUT, Parent, StartTree};
 //! use tokio::time::Instant;
 //!
 //! let now = Instant::now();
 //! let mut tree = StartTree::default();
 //! let vm = |n: u8| std::net::SocketAddr::from(([10, 0, 0, n], 7000));
 //! let read_to = LogPosition::new(0, 7);
-//! assert_eq!(tree.place(now, &"a".into(), (vm(1), 250), read_to), Giver::Me);
-//! assert_eq!(tree.place(now, &"a".into(), (vm(2), 250), read_to), Giver::Other(vm(1)));
+//! assert_eq!(tree.place(now, &"a".into(), (vm(1), 250), read_to), Parent::AskedVm);
+//! assert_eq!(tree.place(now, &"a".into(), (vm(2), 250), read_to), Parent::Other(vm(1)));
 //! // Another zone has a tree of its own: the state crosses to it once.
-//! assert_eq!(tree.place(now, &"b".into(), (vm(3), 250), read_to), Giver::Me);
+//! assert_eq!(tree.place(now, &"b".into(), (vm(3), 250), read_to), Parent::AskedVm);
 //! ```
 
 use crate::id::ZoneName;
@@ -35,9 +35,9 @@
 
 /// From whom a VM gets the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Giver {
+pub enum Parent {
     /// From the VM that it has asked.
-    Me,
+    AskedVm,
     /// From the VM that listens there.
     Other(SocketAddr),
 }
@@ -117,7 +117,7 @@
         zone: &ZoneName,
         (vm, millicores): (SocketAddr, u32),
         position: LogPosition,
-    ) -> Giver {
+    ) -> Parent {
         let branch = self.zones.entry(zone.clone());
         let branch = branch.or_insert_with(|| Branch::new(now, position));
         let is_old = now.saturating_duration_since(branch.last) > FORGOTTEN_AFTER;
@@ -134,6 +134,6 @@
         for _ in 0..before {
             giver = giver.and_then(|p| branch.vms[p].parent);
         }
-        giver.map_or(Giver::Me, |p| Giver::Other(branch.vms[p].vm))
+        giver.map_or(Parent::AskedVm, |p| Parent::Other(branch.vms[p].vm))
     }
 }
--- a/crates/limehollow/tests/start_tree.rs
+++ b/crates/limehollow/tests/start_tree.rs
@@ -1,7 +1,7 @@
 //! From whom VMs that start get the site's state.
 
 use limehollow::log_position::LogPosition;
-use limehollow::start_tree::{FANOUT, Giver, StartTree};
+use limehollow::start_tree::{FANOUT, Parent, StartTree};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 /// Places so many VMs of one zone. Gives the parent of each.
-fn place(tree: &mut StartTree, now: Instant, vms: u16) -> Vec<Giver> {
+fn place(tree: &mut StartTree, now: Instant, vms: u16) -> Vec<Parent> {
     let numbers = 1..=vms;
     numbers
         .map(|n| tree.place(now, &"a".into(), (vm(n), 250), at(7)))
@@ -31,8 +31,8 @@
         let mut steps: HashMap<SocketAddr, u32> = HashMap::new();
         for (n, giver) in (1..).zip(&givers) {
             let before = match giver {
-                Giver::Me => 0,
-                Giver::Other(parent) => {
+                Parent::AskedVm => 0,
+                Parent::Other(parent) => {
                     *children.entry(*parent).or_default() += 1;
                     steps[parent]
                 }
@@ -43,7 +43,7 @@
         let most: u32 = steps.values().max().copied().unwrap_or(0);
         let log = f64::from(vms).log(3.0).ceil();
         assert!(f64::from(most) <= log + 1.0, "{vms} VMs: {most} steps");
-        let by_me = givers.iter().filter(|g| **g == Giver::Me).count();
+        let by_me = givers.iter().filter(|g| **g == Parent::AskedVm).count();
         assert_eq!(by_me, 1, "{vms} VMs");
     }
 }
@@ -53,14 +53,14 @@
     let (mut tree, now) = (StartTree::default(), Instant::now());
     place(&mut tree, now, 30);
     let mut givers = Vec::new();
-    while givers.last() != Some(&Giver::Me) {
+    while givers.last() != Some(&Parent::AskedVm) {
         givers.push(tree.place(now, &"a".into(), (vm(30), 250), at(7)));
         assert!(givers.len() < 6, "{givers:?}");
     }
     // The parent of the 30th is the eighth, whose own is the second.
     assert_eq!(
         givers,
-        [Giver::Other(vm(2)), Giver::Other(vm(1)), Giver::Me]
+        [Parent::Other(vm(2)), Parent::Other(vm(1)), Parent::AskedVm]
     );
 }
 
@@ -71,7 +71,7 @@
     let later = now + Duration::from_secs(11);
     assert_eq!(
         tree.place(later, &"a".into(), (vm(9), 250), at(7)),
-        Giver::Me
+        Parent::AskedVm
     );
 }
 
@@ -82,7 +82,7 @@
     let mut weak_parents = 0;
     for n in 1..=400 {
         let millicores = if n % 3 == 0 { 1000 } else { 120 };
-        if let Giver::Other(parent) = tree.place(now, &"a".into(), (vm(n), millicores), at(7)) {
+        if let Parent::Other(parent) = tree.place(now, &"a".into(), (vm(n), millicores), at(7)) {
             weak_parents += usize::from(parent.port() % 3 != 0);
         }
     }
@@ -96,8 +96,8 @@
     place(&mut tree, now, 30);
     assert_eq!(
         tree.place(now, &"a".into(), (vm(30), 250), at(8)),
-        Giver::Me
+        Parent::AskedVm
     );
     let next = tree.place(now, &"a".into(), (vm(29), 250), at(8));
-    assert_eq!(next, Giver::Other(vm(30)));
+    assert_eq!(next, Parent::Other(vm(30)));
 }
