--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -5,7 +5,7 @@
 use crate::receiver::is_zone;
 use crate::site::Site;
 use crate::start;
-use limehollow::backpressure::RateWord;
+use limehollow::backpressure::RateObservation;
 use limehollow::balance::{MESSAGE_LIFE, Taken};
 use limehollow::candidacy::Notice;
 use limehollow::crash_record::CrashRecord;
@@ -254,8 +254,8 @@
     /// Gives as many of some words as go into a message, others the next time.
     fn some_in_turn(
         &mut self,
-        mut words: Vec<(EndpointKey, RateWord)>,
-    ) -> Vec<(EndpointKey, RateWord)> {
+        mut words: Vec<(EndpointKey, RateObservation)>,
+    ) -> Vec<(EndpointKey, RateObservation)> {
         self.turn += 1;
         if words.len() > MAX_RATES {
             let first = self.turn * MAX_RATES % words.len();
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -1,7 +1,7 @@
 //! What the processes of a site say to each other by datagram: one version byte, then postcard.
 
 use crate::error::{BinarySnafu, FieldSnafu, PackedSnafu, Result, VersionSnafu};
-use limehollow::backpressure::RateWord;
+use limehollow::backpressure::RateObservation;
 use limehollow::balance::Taken;
 use limehollow::catalog::Catalog;
 use limehollow::crash_record::CrashRecord;
@@ -215,13 +215,13 @@
 impl RateSaid {
     /// Gives what is said of an endpoint at this moment.
     #[must_use]
-    pub fn at(now: Instant, instance: Instance, w: RateWord) -> Self {
+    pub fn at(now: Instant, instance: Instance, w: RateObservation) -> Self {
         let ago = |t| millis(now.saturating_duration_since(t));
         Self {
             instance,
             rate: w.rate,
-            asked_ms: ago(w.asked),
-            heard_ms: ago(w.heard),
+            asked_ms: ago(w.sent_at),
+            heard_ms: ago(w.received_at),
         }
     }
 
@@ -230,12 +230,12 @@
     /// What was on its way seems to have been said later than it was. The span in which it was written begins that much earlier, so that
     /// nothing is taken for newer than it is.
     #[must_use]
-    pub fn told(&self, now: Instant, on_the_way: Duration) -> RateWord {
+    pub fn told(&self, now: Instant, on_the_way: Duration) -> RateObservation {
         let asked = before(now, self.asked_ms);
-        RateWord {
+        RateObservation {
             rate: self.rate,
-            asked: asked.checked_sub(on_the_way).unwrap_or(asked),
-            heard: before(now, self.heard_ms),
+            sent_at: asked.checked_sub(on_the_way).unwrap_or(asked),
+            received_at: before(now, self.heard_ms),
         }
     }
 }
--- a/crates/limehollow/src/backpressure.rs
+++ b/crates/limehollow/src/backpressure.rs
@@ -68,30 +68,30 @@
 /// Answers come on several connections, so the one that is heard last need not be the one that was written last. It was
 /// written between the sending of its request and its hearing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RateWord {
+pub struct RateObservation {
     /// Requests a second of all VMs together; none if it named no limit.
     pub rate: Option<f64>,
     /// When the request was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
     /// When the answer was heard.
-    pub heard: Instant,
+    pub received_at: Instant,
 }
 
-impl RateWord {
+impl RateObservation {
     /// Gives which of two words of an endpoint counts: the one that was certainly written later, and the stricter one where
     /// that can't be told.
     #[must_use]
     pub fn join(self, other: Self) -> Self {
-        if other.asked >= self.heard {
+        if other.sent_at >= self.received_at {
             return other;
         }
-        if self.asked >= other.heard {
+        if self.sent_at >= other.received_at {
             return self;
         }
         let rate = |w: &Self| w.rate.unwrap_or(f64::INFINITY);
         match rate(&other).total_cmp(&rate(&self)) {
             Ordering::Less => other,
-            Ordering::Equal if other.heard > self.heard => other,
+            Ordering::Equal if other.received_at > self.received_at => other,
             Ordering::Equal | Ordering::Greater => self,
         }
     }
@@ -144,7 +144,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Row {
-    word: Option<RateWord>,
+    word: Option<RateObservation>,
     /// When the other VMs had to be told anew: the word changed, or one of them still had a limit that has ended.
     is_news_since: Option<Instant>,
     rest: Option<Rest>,
@@ -228,7 +228,7 @@
         &self,
         now: Instant,
         told_for: Duration,
-    ) -> impl Iterator<Item = (EndpointKey, RateWord)> {
+    ) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
         let recent = move |t: Instant| now.saturating_duration_since(t) < told_for;
         let rows = self.rows.iter();
         let rows = rows.filter(move |(_, r)| r.is_news_since.is_some_and(recent));
@@ -236,7 +236,7 @@
     }
 
     /// Gives the words of all limits that stand. A VM that started again hears of them by these.
-    pub fn limits(&self) -> impl Iterator<Item = (EndpointKey, RateWord)> {
+    pub fn limits(&self) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
         let rows = self.rows.iter();
         let words = rows.filter_map(|(k, r)| Some((k, r.word?)));
         words.filter(|(_, w)| w.rate.is_some())
@@ -245,21 +245,21 @@
 
 /// Commands.
 impl Backpressure {
-    /// Takes in what an answer says to a request that was sent at `asked`.
-    pub fn hear(&mut self, now: Instant, key: EndpointKey, asked: Instant, s: Signals) -> Heard {
+    /// Takes in what an answer says to a request that was sent at `sent_at`.
+    pub fn hear(&mut self, now: Instant, key: EndpointKey, sent_at: Instant, s: Signals) -> Heard {
         let rest = s.rest.filter(|r| !r.is_zero()).map(|r| r.min(LONGEST_REST));
         if let Some(rest) = rest {
             self.rest(now + rest, key);
         }
         let rate = match s.rate {
             RateSignal::Unreadable => RateChange::Unchanged,
-            RateSignal::Unnamed => self.end_limit(now, key, asked),
+            RateSignal::Unnamed => self.end_limit(now, key, sent_at),
             RateSignal::Named(rate) => {
                 let rate = (rate < UNLIMITED_FROM).then_some(rate.max(LEAST_RATE));
-                let word = RateWord {
+                let word = RateObservation {
                     rate,
-                    asked,
-                    heard: now,
+                    sent_at,
+                    received_at: now,
                 };
                 self.join(now, key, word)
             }
@@ -268,20 +268,20 @@
     }
 
     /// Takes in an answer without a limit, which is of matter only where one was heard.
-    fn end_limit(&mut self, now: Instant, key: EndpointKey, asked: Instant) -> RateChange {
+    fn end_limit(&mut self, now: Instant, key: EndpointKey, sent_at: Instant) -> RateChange {
         if self.named(key).is_none() {
             return RateChange::Unchanged;
         }
-        let word = RateWord {
+        let word = RateObservation {
             rate: None,
-            asked,
-            heard: now,
+            sent_at,
+            received_at: now,
         };
         self.join(now, key, word)
     }
 
     /// Takes in a word of an endpoint, heard here or by another VM. Gives what changed.
-    pub fn join(&mut self, now: Instant, key: EndpointKey, word: RateWord) -> RateChange {
+    pub fn join(&mut self, now: Instant, key: EndpointKey, word: RateObservation) -> RateChange {
         let Some(row) = self.rows.entry(key) else {
             return RateChange::Unchanged;
         };
--- a/crates/limehollow/tests/backpressure.rs
+++ b/crates/limehollow/tests/backpressure.rs
@@ -1,7 +1,7 @@
 //! What one VM makes of endpoints' words that overtake each other, come late, or contradict those of other VMs.
 
 use limehollow::backpressure::{Backpressure, LEAST_RATE, LONGEST_REST, RateSignal, Signals};
-use limehollow::backpressure::{Heard, RateChange, RateWord};
+use limehollow::backpressure::{Heard, RateChange, RateObservation};
 use limehollow::id::EndpointKey;
 use slotmap::SlotMap;
 use std::time::Duration;
@@ -44,9 +44,9 @@
     }
 
     /// Hears an answer at so many ms to a request sent at so many.
-    fn hear(&mut self, asked: u64, heard: u64, s: Signals) -> Heard {
-        let (asked, now) = (self.t + ms(asked), self.t + ms(heard));
-        self.b.hear(now, self.key, asked, s)
+    fn hear(&mut self, sent_at: u64, received_at: u64, s: Signals) -> Heard {
+        let (sent_at, now) = (self.t + ms(sent_at), self.t + ms(received_at));
+        self.b.hear(now, self.key, sent_at, s)
     }
 
     fn rate(&self) -> Option<f64> {
@@ -154,10 +154,10 @@
 #[test]
 fn join_word_of_another_vm_older_than_the_end() {
     let mut h = Hearing::new();
-    let word = |rate, asked, heard| RateWord {
+    let word = |rate, sent_at, received_at| RateObservation {
         rate,
-        asked: h.t + ms(asked),
-        heard: h.t + ms(heard),
+        sent_at: h.t + ms(sent_at),
+        received_at: h.t + ms(received_at),
     };
     let (limit, end) = (word(Some(2.0), 0, 10), word(None, 1000, 1010));
     let later = h.t + ms(9000);
