--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -164,8 +164,8 @@
         let known = &mut *known;
         let pace = pace(known.peers.neighbours().len());
         self.due = now + pace.mul_f64(rand::random_range(OUT_OF_STEP));
-        let told = known.quarantine.take_told(now);
-        let mut own = self.own(now, known, told.here);
+        let told = known.quarantine.take_batch(now);
+        let mut own = self.own(now, known, told.own_zone);
         own.rates = self.rates(now, known);
         own.reports = known.reports.take();
         own.wants = std::mem::take(&mut known.wants).into_iter().collect();
@@ -176,7 +176,7 @@
         if known.peers.known() == 1 {
             to.clone_from(&self.seeds);
         }
-        let mut outgoing = abroad(&own, now, known, told.abroad);
+        let mut outgoing = abroad(&own, now, known, told.other_zones);
         // The pause is drawn anew each time: measured by the whole pace, every second message would come too early for sums.
         let is_due = now.duration_since(self.summed) >= pace.mul_f64(OUT_OF_STEP.start);
         if is_due && known.peers.is_zone_leader(now) {
@@ -197,12 +197,12 @@
         let site = Arc::clone(&self.site);
         let mut known = site.known();
         let known = &mut *known;
-        let told = known.quarantine.take_told(now);
-        let mut own = self.own(now, known, told.here);
+        let told = known.quarantine.take_batch(now);
+        let mut own = self.own(now, known, told.own_zone);
         own.rates = self.rates(now, known);
         own.reports = known.reports.take();
         let to = known.peers.told_here(now);
-        let mut outgoing = abroad(&own, now, known, told.abroad);
+        let mut outgoing = abroad(&own, now, known, told.other_zones);
         outgoing.extend(list_news(&own, known, &to));
         let change = Message {
             scope: Scope::Change,
--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -137,7 +137,7 @@
 
 /// A record that is still to be told.
 #[derive(Clone, Copy, Debug)]
-struct Untold {
+struct PendingRecord {
     request: Fingerprint,
     /// How many more messages carry it.
     times: u32,
@@ -147,11 +147,11 @@
 
 /// The records that go into the next messages.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct RecordBatch {
     /// Into that for the VMs of the own zone.
-    pub here: Vec<CrashRecord>,
+    pub own_zone: Vec<CrashRecord>,
     /// Into that for other zones.
-    pub abroad: Vec<CrashRecord>,
+    pub other_zones: Vec<CrashRecord>,
 }
 
 /// What one VM knows of requests that may crash endpoints.
@@ -167,7 +167,7 @@
     /// What ran to its end lately.
     answers: RecentAnswers,
     /// What is still to be told.
-    untold: VecDeque<Untold>,
+    untold: VecDeque<PendingRecord>,
     /// What was quarantined or cleared and isn't kept outside this process yet.
     unsaved: BTreeSet<Fingerprint>,
 }
@@ -416,7 +416,7 @@
     /// Puts a record into the next messages.
     fn tell(&mut self, request: Fingerprint, times: u32) {
         self.untold.retain(|u| u.request != request);
-        self.untold.push_back(Untold {
+        self.untold.push_back(PendingRecord {
             request,
             times,
             is_own: true,
@@ -429,7 +429,7 @@
     /// 2.7 s, and 1.7 s with this.
     fn tell_again(&mut self, request: Fingerprint) {
         if self.untold.iter().all(|u| u.request != request) {
-            self.untold.push_back(Untold {
+            self.untold.push_back(PendingRecord {
                 request,
                 times: 1,
                 is_own: false,
@@ -438,20 +438,20 @@
     }
 
     /// Takes the records that go into the next messages.
-    pub fn take_told(&mut self, now: Instant) -> Told {
+    pub fn take_batch(&mut self, now: Instant) -> RecordBatch {
         let due = self.untold.len().min(MAX_TOLD);
-        let due: Vec<Untold> = self.untold.drain(..due).collect();
-        let mut told = Told::default();
+        let due: Vec<PendingRecord> = self.untold.drain(..due).collect();
+        let mut told = RecordBatch::default();
         for u in due {
             let Some(record) = self.record(now, u.request) else {
                 continue;
             };
             if u.is_own {
-                told.abroad.push(record.clone());
+                told.other_zones.push(record.clone());
             }
-            told.here.push(record);
+            told.own_zone.push(record);
             if u.times > 1 {
-                self.untold.push_back(Untold {
+                self.untold.push_back(PendingRecord {
                     times: u.times - 1,
                     ..u
                 });
--- a/crates/limehollow/tests/quarantine.rs
+++ b/crates/limehollow/tests/quarantine.rs
@@ -195,14 +195,18 @@
         crash(&mut q, now, request(1, n), n);
         q.note_crash(now, (request(2, n), origin(2)), start(n), Timing::Late);
     }
-    let (mut here, mut abroad) = (0, 0);
+    let (mut own_zone, mut other_zones) = (0, 0);
     for _ in 0..10 {
-        let told = q.take_told(now);
-        assert!(told.here.len() <= 16, "{} in one message", told.here.len());
-        here += told.here.len();
-        abroad += told.abroad.len();
+        let told = q.take_batch(now);
+        assert!(
+            told.own_zone.len() <= 16,
+            "{} in one message",
+            told.own_zone.len()
+        );
+        own_zone += told.own_zone.len();
+        other_zones += told.other_zones.len();
     }
-    assert_eq!((here, abroad), (80, 80));
+    assert_eq!((own_zone, other_zones), (80, 80));
 }
 
 #[test]
