--- a/crates/limehollow-node/src/counted.rs
+++ b/crates/limehollow-node/src/counted.rs
@@ -4,7 +4,7 @@
 use crate::metrics::{ByCall, Metrics};
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
-use limehollow::group_lease::Dealt;
+use limehollow::group_lease::GroupAssignment;
 use limehollow::log_position::LogPosition;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -130,7 +130,7 @@
         self.note("append", "vms", res)
     }
 
-    async fn join(&self, member: &str, generation: u64) -> Result<Dealt, StoreError> {
+    async fn join(&self, member: &str, generation: u64) -> Result<GroupAssignment, StoreError> {
         let res = self.store.join(member, generation).await;
         self.note("join", "lease", res)
     }
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -8,7 +8,7 @@
 use limehollow::catalog::Catalog;
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
-use limehollow::group_lease::Dealt;
+use limehollow::group_lease::GroupAssignment;
 use limehollow::id::ZoneName;
 use limehollow::job::PromptPart;
 use limehollow::log_position::LogPosition;
@@ -179,7 +179,7 @@
         &self,
         member: &str,
         generation: u64,
-    ) -> impl Future<Output = Result<Dealt, StoreError>> + Send;
+    ) -> impl Future<Output = Result<GroupAssignment, StoreError>> + Send;
 
     /// Reads the records of quarantined requests that are kept. Their ages are not: each counts from its reading.
     ///
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -3,7 +3,7 @@
 use crate::edge::{Feed, Protocol, Store};
 use crate::site::Site;
 use limehollow::candidacy::Notice;
-use limehollow::group_lease::{Dealt, GroupLease, JOIN_EVERY, LeaseChange, TTL};
+use limehollow::group_lease::{GroupAssignment, GroupLease, JOIN_EVERY, LeaseChange, TTL};
 use smol_str::SmolStr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -122,7 +122,7 @@
 }
 
 /// Takes in the platform's answer, and what this VM says of the lease from now on.
-fn take_in<P>(site: &Site<P>, lease: &SharedLease, sent: Instant, dealt: Dealt)
+fn take_in<P>(site: &Site<P>, lease: &SharedLease, sent: Instant, dealt: GroupAssignment)
 where
     P: Protocol,
 {
@@ -130,7 +130,7 @@
     let mut known = site.known();
     let known = &mut *known;
     with_lease(lease, |l| {
-        match l.dealt(sent, now, dealt) {
+        match l.apply_assignment(sent, now, dealt) {
             Some(LeaseChange::Taken(fence)) => {
                 let before = known.candidacy.predecessor(now, fence);
                 l.follows(before);
--- a/crates/limehollow-node/tests/rig/fleet_store.rs
+++ b/crates/limehollow-node/tests/rig/fleet_store.rs
@@ -3,7 +3,7 @@
 use super::Memory;
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
-use limehollow::group_lease::Dealt;
+use limehollow::group_lease::GroupAssignment;
 use limehollow::log_position::LogPosition;
 use limehollow_node::edge::{Changes, Feed, Store, StoreError, Vm};
 use std::future::pending;
@@ -218,7 +218,7 @@
         self.call(self.store.announce(vms)).await
     }
 
-    async fn join(&self, member: &str, generation: u64) -> Result<Dealt, StoreError> {
+    async fn join(&self, member: &str, generation: u64) -> Result<GroupAssignment, StoreError> {
         let call = self.call(self.store.join(member, generation));
         let given_up = timeout(JOIN_WITHIN, call).await;
         given_up.unwrap_or_else(|_| Err(late("join")))
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -15,7 +15,7 @@
 use limehollow::catalog::{CallerLimits, Catalog, Rule, Share};
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
-use limehollow::group_lease::{Dealt, Term};
+use limehollow::group_lease::{GroupAssignment, Term};
 use limehollow::id::ServiceName;
 use limehollow::log_position::LogPosition;
 use limehollow::rebalance::EndpointReport;
@@ -606,13 +606,13 @@
         Ok(())
     }
 
-    async fn join(&self, _: &str, _: u64) -> Result<Dealt, StoreError> {
-        Ok(Dealt {
+    async fn join(&self, _: &str, _: u64) -> Result<GroupAssignment, StoreError> {
+        Ok(GroupAssignment {
             term: Term {
                 era: 0,
                 generation: 1,
             },
-            mine: true,
+            holds_lease: true,
         })
     }
 
--- a/crates/limehollow/src/group_lease.rs
+++ b/crates/limehollow/src/group_lease.rs
@@ -1,6 +1,6 @@
 //! The right to give orders, held through membership of a group at the platform.
 //!
-//! The platform deals a partition to one member of a group at a time. Who is dealt it holds the lease.
+//! The platform deals a partition to one member of a group at a time. Who is assignment it holds the lease.
 //! Its generation rises with each change of the group, but goes back with a store that comes back from a copy, so the
 //! fencing number is of the store's era first. A new holder
 //! first waits until orders of the one before can't arrive any more, and a holder that hasn't heard
@@ -42,11 +42,11 @@
 
 /// The platform's answer to a join.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Dealt {
+pub struct GroupAssignment {
     /// The group's term.
     pub term: Term,
     /// Whether the lease's partition is this member's.
-    pub mine: bool,
+    pub holds_lease: bool,
 }
 
 /// A change that is worth a log line.
@@ -191,21 +191,26 @@
     }
 
     /// Takes in the answer to a join that was sent at `sent`.
-    pub fn dealt(&mut self, sent: Instant, now: Instant, dealt: Dealt) -> Option<LeaseChange> {
-        if dealt.term.era < self.term.era {
+    pub fn apply_assignment(
+        &mut self,
+        sent: Instant,
+        now: Instant,
+        assignment: GroupAssignment,
+    ) -> Option<LeaseChange> {
+        if assignment.term.era < self.term.era {
             // An answer that was long on its way: what it deals is gone.
             return None;
         }
         let lapsed = self.has_lapsed(now);
-        self.term = self.term.max(dealt.term);
-        // Each change of the group raises the term: in this one nobody else can have been dealt the lease.
+        self.term = self.term.max(assignment.term);
+        // Each change of the group raises the term: in this one nobody else can have been assignment the lease.
         let suspended = self.suspended.take();
-        if let Some(s) = suspended.filter(|s| dealt.mine && s.term == dealt.term) {
+        if let Some(s) = suspended.filter(|s| assignment.holds_lease && s.term == assignment.term) {
             self.renewed = Some(sent);
             self.held_since = Some(s.held_since);
             return Some(LeaseChange::Resumed(self.term.fence()));
         }
-        if !dealt.mine {
+        if !assignment.holds_lease {
             self.renewed = None;
             return self.held_since.take().map(|_| LeaseChange::Lost);
         }
--- a/crates/limehollow/tests/group_lease.rs
+++ b/crates/limehollow/tests/group_lease.rs
@@ -1,26 +1,26 @@
 //! When a process may give orders: the lease through a group, on paused time.
 
 use limehollow::group_lease::{
-    Dealt, GroupLease, LeaseChange, ORDER_WITHIN, Predecessor, TTL, Term,
+    GroupAssignment, GroupLease, LeaseChange, ORDER_WITHIN, Predecessor, TTL, Term,
 };
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
 const BETWEEN: Duration = Duration::from_secs(3);
 
-fn dealt(generation: u64, mine: bool) -> Dealt {
-    dealt_in(0, generation, mine)
+fn dealt(generation: u64, holds_lease: bool) -> GroupAssignment {
+    dealt_in(0, generation, holds_lease)
 }
 
-fn dealt_in(era: u64, generation: u64, mine: bool) -> Dealt {
+fn dealt_in(era: u64, generation: u64, holds_lease: bool) -> GroupAssignment {
     let term = Term { era, generation };
-    Dealt { term, mine }
+    GroupAssignment { term, holds_lease }
 }
 
 /// Joins at once, with an answer.
-fn join(l: &mut GroupLease, d: Dealt) -> Option<LeaseChange> {
+fn join(l: &mut GroupLease, d: GroupAssignment) -> Option<LeaseChange> {
     let now = Instant::now();
-    l.dealt(now, now, d)
+    l.apply_assignment(now, now, d)
 }
 
 /// Holds the lease long enough for orders.
@@ -76,7 +76,7 @@
     let mut l = held().await;
     let sent = Instant::now();
     advance(ORDER_WITHIN).await;
-    l.dealt(sent, Instant::now(), dealt(4, true));
+    l.apply_assignment(sent, Instant::now(), dealt(4, true));
     assert_eq!(l.fence(Instant::now()), None);
 }
 
