--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -133,7 +133,7 @@
         match l.apply_assignment(sent, now, dealt) {
             Some(LeaseChange::Taken(fence)) => {
                 let before = known.candidacy.predecessor(now, fence);
-                l.follows(before);
+                l.set_predecessor(before);
                 tracing::info!(fence, ?before, "lease taken");
             }
             Some(LeaseChange::Resumed(fence)) => tracing::info!(fence, "lease resumed"),
@@ -185,7 +185,7 @@
         if is_store_away {
             l.suspend();
         } else {
-            l.drop_it();
+            l.release();
         }
     });
     let mut known = site.known();
@@ -208,7 +208,7 @@
             known.lease_notice = Some((notice, now + RESIGNED_FOR));
             site.urgent.notify_one();
         }
-        l.drop_it();
+        l.release();
     });
     site.metrics.holds_lease.set(0);
 }
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -421,7 +421,7 @@
         let now = self.site.now();
         let fence = with_lease(&self.lease, |l| {
             let fence = l.fence(now)?;
-            l.note_order(now);
+            l.record_order(now);
             Some(fence)
         })?;
         let settings = self.site.settings.load();
--- a/crates/limehollow/src/group_lease.rs
+++ b/crates/limehollow/src/group_lease.rs
@@ -163,19 +163,19 @@
     }
 
     /// Notes that an order is given.
-    pub fn note_order(&mut self, now: Instant) {
+    pub fn record_order(&mut self, now: Instant) {
         self.last_order = Some(now);
     }
 
     /// Notes that the holder before resigned, and when it gave its last order, so that this one waits from then on.
     ///
     /// A rolling restart of a site passes through each holder; without this each cost three seconds without orders.
-    pub fn follows(&mut self, before: Predecessor) {
+    pub fn set_predecessor(&mut self, before: Predecessor) {
         self.predecessor = before;
     }
 
     /// Gives the lease up: the process ends.
-    pub fn drop_it(&mut self) {
+    pub fn release(&mut self) {
         self.held_since = None;
         self.renewed = None;
     }
@@ -187,7 +187,7 @@
             term: self.term,
             held_since,
         });
-        self.drop_it();
+        self.release();
     }
 
     /// Takes in the answer to a join that was sent at `sent`.
--- a/crates/limehollow/tests/group_lease.rs
+++ b/crates/limehollow/tests/group_lease.rs
@@ -93,7 +93,7 @@
 #[tokio::test(start_paused = true)]
 async fn drop_it_ends_orders_at_once() {
     let mut l = held().await;
-    l.drop_it();
+    l.release();
     assert_eq!(l.fence(Instant::now()), None);
 }
 
@@ -104,7 +104,7 @@
     let ordered = Instant::now();
     advance(Duration::from_secs(2)).await;
     join(&mut l, dealt(6, true));
-    l.follows(Predecessor::Ordered(ordered));
+    l.set_predecessor(Predecessor::Ordered(ordered));
     assert_eq!(l.fence(Instant::now()), None);
     advance(Duration::from_millis(900)).await;
     join(&mut l, dealt(6, true));
@@ -116,7 +116,7 @@
 async fn fence_after_a_holder_that_gave_no_order() {
     let mut l = GroupLease::new(BETWEEN);
     join(&mut l, dealt(6, true));
-    l.follows(Predecessor::Idle);
+    l.set_predecessor(Predecessor::Idle);
     assert_eq!(l.fence(Instant::now()), Some(6));
     // Another may have held it since: what is known of the one before counts no more.
     join(&mut l, dealt(7, false));
@@ -141,11 +141,11 @@
     let taken = Instant::now();
     join(&mut l, dealt(6, true));
     assert_eq!(l.last_order(), Some(taken), "nothing is known");
-    l.follows(Predecessor::Ordered(ordered));
+    l.set_predecessor(Predecessor::Ordered(ordered));
     assert_eq!(l.last_order(), Some(ordered));
-    l.follows(Predecessor::Idle);
+    l.set_predecessor(Predecessor::Idle);
     assert_eq!(l.last_order(), None);
-    l.note_order(taken);
+    l.record_order(taken);
     assert_eq!(l.last_order(), Some(taken));
 }
 
@@ -185,7 +185,7 @@
 async fn fence_of_a_lease_that_lapsed_in_an_outage() {
     let mut l = held().await;
     let ordered = Instant::now();
-    l.note_order(ordered);
+    l.record_order(ordered);
     advance(Duration::from_secs(6)).await;
     l.suspend();
     assert_eq!(l.fence(Instant::now()), None);
