--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -230,7 +230,7 @@
         // The sum over all VMs reckons with so much time between the grant and the sending.
         Room::Granted(at) => now.saturating_duration_since(at) <= ON_THE_WAY,
     };
-    if has_room && !wishes.rests(now, to.key) {
+    if has_room && !wishes.is_backing_off(now, to.key) {
         Ok(())
     } else {
         Err(Failed::no_room())
--- a/crates/limehollow-node/src/hearing.rs
+++ b/crates/limehollow-node/src/hearing.rs
@@ -36,7 +36,7 @@
     let leaves = s.leaving && known.note_leaving(now, &to.instance);
     drop(known);
     log_rate(&to.instance, heard.rate, "the endpoint");
-    if let Some(rest) = heard.rest {
+    if let Some(rest) = heard.backoff {
         site.metrics.rests.inc();
         tracing::info!(endpoint = %to.instance, rest_ms = rest.as_millis(), "an endpoint asks this VM for rest");
     }
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -123,7 +123,7 @@
             leaving: headers.contains_key("x-leaving"),
             rate: number("x-rate").map_or(RateSignal::Unnamed, RateSignal::Named),
             cold: number("x-cold").map(|ms| Duration::from_secs_f64(ms / 1000.0)),
-            rest: number("x-rest")
+            backoff: number("x-rest")
                 .filter(|_| turned_away)
                 .map(Duration::from_secs_f64),
         }
--- a/crates/limehollow/src/backpressure.rs
+++ b/crates/limehollow/src/backpressure.rs
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 
 /// The longest rest that is granted at a word. An endpoint that wants more says so again at the request that comes then.
-pub const LONGEST_REST: Duration = Duration::from_secs(3600);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(3600);
 /// The lowest rate at which an endpoint is asked, in requests a second: with none at all nobody would hear that its limit has
 /// ended.
 pub const LEAST_RATE: f64 = 0.1;
@@ -58,7 +58,7 @@
     /// How many requests it takes.
     pub rate: RateSignal,
     /// For how long it wants nothing of this VM.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// For how long it is cold.
     pub cold: Option<Duration>,
 }
@@ -111,15 +111,15 @@
 
 /// What is new after an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct SignalChange {
     /// What changed of its limit.
     pub rate: RateChange,
     /// The rest that was asked for.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     until: Instant,
     /// Whether a request is under way that shows whether the endpoint takes requests again.
     trial: bool,
@@ -147,7 +147,7 @@
     word: Option<RateObservation>,
     /// When the other VMs had to be told anew: the word changed, or one of them still had a limit that has ended.
     is_news_since: Option<Instant>,
-    rest: Option<Rest>,
+    backoff: Option<Backoff>,
     cold: Option<Cold>,
 }
 
@@ -201,9 +201,9 @@
     /// Gives in how long an endpoint that rests takes a request of this VM; none if it does now.
     #[must_use]
     pub fn opens_in(&self, now: Instant, key: EndpointKey) -> Option<Duration> {
-        let rest = self.rows.get(key)?.rest?;
-        let left = rest.until.saturating_duration_since(now);
-        match (left.is_zero(), rest.trial) {
+        let backoff = self.rows.get(key)?.backoff?;
+        let left = backoff.until.saturating_duration_since(now);
+        match (left.is_zero(), backoff.trial) {
             (false, _) => Some(left),
             (true, true) => Some(TRIAL_AGAIN),
             (true, false) => None,
@@ -212,9 +212,9 @@
 
     /// Tells whether an endpoint wants nothing of this VM now, not even a request that shows whether its rest is over.
     #[must_use]
-    pub fn rests(&self, now: Instant, key: EndpointKey) -> bool {
-        let rest = self.rows.get(key).and_then(|r| r.rest);
-        rest.is_some_and(|r| now < r.until)
+    pub fn is_backing_off(&self, now: Instant, key: EndpointKey) -> bool {
+        let backoff = self.rows.get(key).and_then(|r| r.backoff);
+        backoff.is_some_and(|r| now < r.until)
     }
 
     /// Gives the endpoints to which no request of this VM may be sent now.
@@ -246,10 +246,19 @@
 /// Commands.
 impl Backpressure {
     /// Takes in what an answer says to a request that was sent at `sent_at`.
-    pub fn hear(&mut self, now: Instant, key: EndpointKey, sent_at: Instant, s: Signals) -> Heard {
-        let rest = s.rest.filter(|r| !r.is_zero()).map(|r| r.min(LONGEST_REST));
-        if let Some(rest) = rest {
-            self.rest(now + rest, key);
+    pub fn hear(
+        &mut self,
+        now: Instant,
+        key: EndpointKey,
+        sent_at: Instant,
+        s: Signals,
+    ) -> SignalChange {
+        let backoff = s
+            .backoff
+            .filter(|r| !r.is_zero())
+            .map(|r| r.min(MAX_BACKOFF));
+        if let Some(backoff) = backoff {
+            self.backoff(now + backoff, key);
         }
         let rate = match s.rate {
             RateSignal::Unreadable => RateChange::Unchanged,
@@ -264,7 +273,7 @@
                 self.join(now, key, word)
             }
         };
-        Heard { rate, rest }
+        SignalChange { rate, backoff }
     }
 
     /// Takes in an answer without a limit, which is of matter only where one was heard.
@@ -324,25 +333,25 @@
     }
 
     /// A rest that was asked for in an answer that comes late counts as well: each of them was meant.
-    fn rest(&mut self, until: Instant, key: EndpointKey) {
+    fn backoff(&mut self, until: Instant, key: EndpointKey) {
         let Some(row) = self.rows.entry(key) else {
             return;
         };
         let row = row.or_default();
-        let rest = row.rest.get_or_insert(Rest {
+        let backoff = row.backoff.get_or_insert(Backoff {
             until,
             trial: false,
         });
-        rest.until = rest.until.max(until);
+        backoff.until = backoff.until.max(until);
     }
 
     /// Notes that a request is sent to an endpoint. Gives whether it shows if a rest is over.
     pub(crate) fn start(&mut self, now: Instant, key: EndpointKey) -> bool {
-        let rest = self.rows.get_mut(key).and_then(|r| r.rest.as_mut());
-        let Some(rest) = rest.filter(|r| now >= r.until && !r.trial) else {
+        let backoff = self.rows.get_mut(key).and_then(|r| r.backoff.as_mut());
+        let Some(backoff) = backoff.filter(|r| now >= r.until && !r.trial) else {
             return false;
         };
-        rest.trial = true;
+        backoff.trial = true;
         true
     }
 
@@ -354,10 +363,10 @@
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
-        if let Some(rest) = &mut row.rest {
-            rest.trial = false;
-            if answered && now >= rest.until {
-                row.rest = None;
+        if let Some(backoff) = &mut row.backoff {
+            backoff.trial = false;
+            if answered && now >= backoff.until {
+                row.backoff = None;
             }
         }
     }
--- a/crates/limehollow/tests/backpressure.rs
+++ b/crates/limehollow/tests/backpressure.rs
@@ -1,7 +1,7 @@
 //! What one VM makes of endpoints' words that overtake each other, come late, or contradict those of other VMs.
 
-use limehollow::backpressure::{Backpressure, LEAST_RATE, LONGEST_REST, RateSignal, Signals};
-use limehollow::backpressure::{Heard, RateChange, RateObservation};
+use limehollow::backpressure::{Backpressure, LEAST_RATE, MAX_BACKOFF, RateSignal, Signals};
+use limehollow::backpressure::{RateChange, RateObservation, SignalChange};
 use limehollow::id::EndpointKey;
 use slotmap::SlotMap;
 use std::time::Duration;
@@ -20,9 +20,9 @@
     }
 }
 
-fn rest(rest: Duration) -> Signals {
+fn backoff(backoff: Duration) -> Signals {
     Signals {
-        rest: Some(rest),
+        backoff: Some(backoff),
         ..Signals::default()
     }
 }
@@ -44,7 +44,7 @@
     }
 
     /// Hears an answer at so many ms to a request sent at so many.
-    fn hear(&mut self, sent_at: u64, received_at: u64, s: Signals) -> Heard {
+    fn hear(&mut self, sent_at: u64, received_at: u64, s: Signals) -> SignalChange {
         let (sent_at, now) = (self.t + ms(sent_at), self.t + ms(received_at));
         self.b.hear(now, self.key, sent_at, s)
     }
@@ -115,7 +115,7 @@
         rate: RateSignal::Unreadable,
         ..Signals::default()
     };
-    assert_eq!(h.hear(20, 30, s), Heard::default());
+    assert_eq!(h.hear(20, 30, s), SignalChange::default());
     assert_eq!(h.rate(), Some(2.0));
 }
 
@@ -134,7 +134,7 @@
     for order in [[3000, 1000], [1000, 3000]] {
         let mut h = Hearing::new();
         for r in order {
-            h.hear(0, 0, rest(ms(r)));
+            h.hear(0, 0, backoff(ms(r)));
         }
         assert_eq!(h.opens_in(0), Some(ms(3000)));
         assert_eq!(h.opens_in(2999), Some(ms(1)));
@@ -145,10 +145,10 @@
 #[test]
 fn hear_longest_and_empty_rest() {
     let mut h = Hearing::new();
-    assert_eq!(h.hear(0, 0, rest(Duration::ZERO)).rest, None);
+    assert_eq!(h.hear(0, 0, backoff(Duration::ZERO)).backoff, None);
     assert_eq!(h.opens_in(0), None);
-    h.hear(0, 0, rest(Duration::MAX));
-    assert_eq!(h.opens_in(0), Some(LONGEST_REST));
+    h.hear(0, 0, backoff(Duration::MAX));
+    assert_eq!(h.opens_in(0), Some(MAX_BACKOFF));
 }
 
 #[test]
