--- a/crates/limehollow-controller/src/event.rs
+++ b/crates/limehollow-controller/src/event.rs
@@ -1,7 +1,7 @@
 //! What comes back to the control thread from the others.
 
 use limehollow::id::{Incarnation, Offset, VmName};
-use limehollow::listing::Look;
+use limehollow::listing::Observation;
 use limehollow::order::SendResult;
 use limehollow_edge::admin::DumpRequest;
 use limehollow_edge::follow::Batch;
@@ -18,7 +18,7 @@
     /// The platform's membership list, or nothing if it could not be read.
     List(Option<Listing>),
     /// A look at an endpoint ended.
-    Looked(VmName, Option<Look>),
+    Looked(VmName, Option<Observation>),
     /// A fence ended.
     Fenced(VmName, Offset, Option<Incarnation>),
     /// Sending an order ended.
--- a/crates/limehollow-controller/src/gossip.rs
+++ b/crates/limehollow-controller/src/gossip.rs
@@ -2,7 +2,7 @@
 
 use limehollow::demand::WORD_LIFE;
 use limehollow::id::{Incarnation, Offset, VmName, ZoneName};
-use limehollow::listing::{Listed, ListedKind, Look};
+use limehollow::listing::{Listed, ListedKind, Observation};
 use limehollow::load::{LoadReport, REPORT_LIFE};
 use limehollow::membership::{FANOUT, Heartbeat, Membership, watches};
 use limehollow_wire::peer::{Digest, News, WireHeartbeat, WireLoad, WireUnmet};
@@ -85,7 +85,7 @@
     }
 
     /// Takes in a look at an endpoint.
-    pub fn on_look(&mut self, vm: &VmName, look: &Look) {
+    pub fn on_look(&mut self, vm: &VmName, look: &Observation) {
         self.merge_load(vm.clone(), look.incarnation, look.began, look.load);
     }
 
--- a/crates/limehollow-edge/src/engine.rs
+++ b/crates/limehollow-edge/src/engine.rs
@@ -3,7 +3,7 @@
 use crate::error::{Error, Result};
 use crate::http::{client, json};
 use limehollow::id::{Incarnation, Offset, VmName};
-use limehollow::listing::Look;
+use limehollow::listing::Observation;
 use limehollow::order::{Order, SendResult};
 use limehollow_wire::engine::{Fence, Fenced, State, WireOrder};
 use tokio::time::Instant;
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// If it does not answer, or not as it should.
-    pub async fn look(&self, endpoint: &VmName, address: &str) -> Result<Look> {
+    pub async fn look(&self, endpoint: &VmName, address: &str) -> Result<Observation> {
         let began = Instant::now();
         let req = self.client.get(format!("http://{address}/state"));
         let state: State = json("endpoint state", req).await?;
--- a/crates/limehollow-wire/src/engine.rs
+++ b/crates/limehollow-wire/src/engine.rs
@@ -1,7 +1,7 @@
 //! What endpoints say and take, as JSON over HTTP (`docs/interfaces.md`).
 
 use limehollow::id::{Incarnation, VmName};
-use limehollow::listing::Look;
+use limehollow::listing::Observation;
 use limehollow::load::LoadReport;
 use limehollow::order::Order;
 use limehollow::plan::{Action, ModelVersion, Place};
@@ -77,9 +77,9 @@
 impl State {
     /// Turns the answer into a look that began at that time.
     #[must_use]
-    pub fn into_look(self, endpoint: &VmName, began: Instant) -> Look {
+    pub fn into_look(self, endpoint: &VmName, began: Instant) -> Observation {
         let capacities = self.accelerators.iter().map(|a| a.capacity).collect();
-        let mut look = Look {
+        let mut look = Observation {
             began,
             incarnation: self.incarnation,
             kind: EndpointKind::Engine {
--- a/crates/limehollow/src/listing.rs
+++ b/crates/limehollow/src/listing.rs
@@ -41,7 +41,7 @@
 
 /// What an endpoint showed when it was looked at.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct Observation {
     /// When the look began; what it shows may be older by the longest lag of a report.
     pub began: Instant,
     /// The endpoint's incarnation.
@@ -58,7 +58,7 @@
     pub load: LoadReport,
 }
 
-impl Look {
+impl Observation {
     /// Tells whether a model is loaded at a place.
     #[must_use]
     pub fn has(&self, place: &Place, model: &ModelVersion) -> bool {
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -12,7 +12,7 @@
 use crate::demand::Demand;
 use crate::fleet::Fleet;
 use crate::id::{Incarnation, LogTime, ModelName, Offset, VmName, ZoneName};
-use crate::listing::{Listed, ListedKind, Look};
+use crate::listing::{Listed, ListedKind, Observation};
 use crate::membership::Membership;
 use crate::plan::{Action, ModelVersion, Place};
 use crate::record::Record;
@@ -130,7 +130,7 @@
 struct Watch {
     looking: bool,
     next_look: Option<Instant>,
-    look: Option<Look>,
+    look: Option<Observation>,
     failing_since: Option<Instant>,
     /// When this process last told the log that the endpoint is gone.
     departed: Option<Instant>,
@@ -210,7 +210,7 @@
     }
 
     /// Takes in a look at an endpoint, or nothing if it did not answer.
-    pub fn on_look(&mut self, now: Instant, endpoint: &VmName, look: Option<Look>) {
+    pub fn on_look(&mut self, now: Instant, endpoint: &VmName, look: Option<Observation>) {
         let w = self.watches.entry(endpoint.clone()).or_default();
         w.looking = false;
         let says_new = match (&w.look, &look) {
--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -3,7 +3,7 @@
 use super::{Command, Driver, Order, SendResult, Sent};
 use crate::fleet::{Fleet, OrderState, Presence};
 use crate::id::{Incarnation, Offset, VmName};
-use crate::listing::Look;
+use crate::listing::Observation;
 use crate::membership::Membership;
 use crate::plan::Action;
 use crate::record::{Evidence, OrderSettled, Outcome, Record};
@@ -223,7 +223,12 @@
     }
 
     /// Gives the last look at an endpoint if nothing in it can be older than `since`.
-    fn fresh_look(&self, vm: &VmName, incarnation: Incarnation, since: Instant) -> Option<&Look> {
+    fn fresh_look(
+        &self,
+        vm: &VmName,
+        incarnation: Incarnation,
+        since: Instant,
+    ) -> Option<&Observation> {
         let look = self.watches.get(vm)?.look.as_ref()?;
         let fresh = look.began >= since + self.rules.report_lag;
         (fresh && look.incarnation == incarnation).then_some(look)
@@ -244,7 +249,7 @@
 }
 
 /// Reads the outcome of an order off a look that surely shows it.
-fn effect(o: &OrderState, look: &Look) -> Outcome {
+fn effect(o: &OrderState, look: &Observation) -> Outcome {
     if look.has(&o.place, &o.model) == (o.action == Action::Load) {
         return Outcome::Done;
     }
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use limehollow::id::{Incarnation, LogTime, ModelName, Offset, VmName, ZoneName};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
 use limehollow::lease::LeaseWatch;
-use limehollow::listing::{Listed, ListedKind, Look};
+use limehollow::listing::{Listed, ListedKind, Observation};
 use limehollow::load::LoadReport;
 use limehollow::membership::{Liveness, Membership};
 use limehollow::order::{Command, Driver, Order, Rules, SendResult};
@@ -82,7 +82,7 @@
     pub running: BTreeMap<ModelName, u32>,
     pub fail_loads: u32,
     fence: u64,
-    reports: VecDeque<(Instant, Look)>,
+    reports: VecDeque<(Instant, Observation)>,
 }
 
 impl Engine {
@@ -131,7 +131,7 @@
             endpoint: name.clone(),
             accelerator: 0,
         };
-        let mut look = Look {
+        let mut look = Observation {
             began: now,
             incarnation: self.incarnation,
             kind: EndpointKind::Engine {
@@ -165,9 +165,9 @@
         }
     }
 
-    fn look(&self, now: Instant) -> Option<Look> {
+    fn look(&self, now: Instant) -> Option<Observation> {
         let (_, look) = self.reports.front()?;
-        self.up.then(|| Look {
+        self.up.then(|| Observation {
             began: now,
             ..look.clone()
         })
