--- a/crates/limehollow-node/src/hearing.rs
+++ b/crates/limehollow-node/src/hearing.rs
@@ -26,7 +26,7 @@
         // Its start is gone, and with it all that was believed of it.
         return;
     }
-    let heard = known.balance.backpressure.hear(now, to.key, asked, s);
+    let heard = known.balance.backpressure.observe(now, to.key, asked, s);
     if heard.rate != RateChange::Unchanged {
         known.set_limit(now, to.key);
     }
@@ -59,7 +59,7 @@
             continue;
         };
         let word = r.told(now, MOST_ON_THE_WAY);
-        let change = known.balance.backpressure.join(now, key, word);
+        let change = known.balance.backpressure.merge(now, key, word);
         if change != RateChange::Unchanged {
             known.set_limit(now, key);
         }
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -342,7 +342,9 @@
             let left_ms = left.as_millis();
             tracing::info!(endpoint = %e.instance, left_ms, rate = spec.rate, "an endpoint is cold");
         }
-        self.balance.backpressure.cool(key, now + left, spec.rate);
+        self.balance
+            .backpressure
+            .mark_cold(key, now + left, spec.rate);
         self.set_limit(now, key);
     }
 
@@ -358,7 +360,7 @@
 
     /// Ends the cold times that are over.
     pub(crate) fn warm_up(&mut self, now: Instant) {
-        for key in self.balance.backpressure.warm_up(now) {
+        for key in self.balance.backpressure.end_cold_periods(now) {
             self.set_limit(now, key);
         }
     }
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -240,9 +240,12 @@
         let wishes = &known.balance.backpressure;
         let words = if now.duration_since(self.limits_said) >= LIMITS_SAID_EVERY {
             self.limits_said = now;
-            self.some_in_turn(wishes.limits().collect())
+            self.some_in_turn(wishes.active_limits().collect())
         } else {
-            wishes.news(now, RATE_SAID_FOR).take(MAX_RATES).collect()
+            wishes
+                .recent_changes(now, RATE_SAID_FOR)
+                .take(MAX_RATES)
+                .collect()
         };
         let said = words.into_iter().filter_map(|(k, w)| {
             let instance = known.roster.get(k)?.instance.clone();
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -405,7 +405,7 @@
         let wishes = &known.balance.backpressure;
         self.metrics
             .endpoints_limited
-            .set(count(wishes.limits().count()));
+            .set(count(wishes.active_limits().count()));
         self.metrics
             .endpoints_cold
             .set(count(wishes.cold().count()));
--- a/crates/limehollow/src/backpressure.rs
+++ b/crates/limehollow/src/backpressure.rs
@@ -81,7 +81,7 @@
     /// Gives which of two words of an endpoint counts: the one that was certainly written later, and the stricter one where
     /// that can't be told.
     #[must_use]
-    pub fn join(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         if other.sent_at >= self.received_at {
             return other;
         }
@@ -224,7 +224,7 @@
     }
 
     /// Gives the words that the other VMs have to be told of, which is so for some time after a change.
-    pub fn news(
+    pub fn recent_changes(
         &self,
         now: Instant,
         told_for: Duration,
@@ -236,7 +236,7 @@
     }
 
     /// Gives the words of all limits that stand. A VM that started again hears of them by these.
-    pub fn limits(&self) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
+    pub fn active_limits(&self) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
         let rows = self.rows.iter();
         let words = rows.filter_map(|(k, r)| Some((k, r.word?)));
         words.filter(|(_, w)| w.rate.is_some())
@@ -246,7 +246,7 @@
 /// Commands.
 impl Backpressure {
     /// Takes in what an answer says to a request that was sent at `sent_at`.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         now: Instant,
         key: EndpointKey,
@@ -270,7 +270,7 @@
                     sent_at,
                     received_at: now,
                 };
-                self.join(now, key, word)
+                self.merge(now, key, word)
             }
         };
         SignalChange { rate, backoff }
@@ -286,17 +286,17 @@
             sent_at,
             received_at: now,
         };
-        self.join(now, key, word)
+        self.merge(now, key, word)
     }
 
     /// Takes in a word of an endpoint, heard here or by another VM. Gives what changed.
-    pub fn join(&mut self, now: Instant, key: EndpointKey, word: RateObservation) -> RateChange {
+    pub fn merge(&mut self, now: Instant, key: EndpointKey, word: RateObservation) -> RateChange {
         let Some(row) = self.rows.entry(key) else {
             return RateChange::Unchanged;
         };
         let row = row.or_default();
         let before = row.word.and_then(|w| w.rate);
-        let joined = row.word.map_or(word, |w| w.join(word));
+        let joined = row.word.map_or(word, |w| w.merge(word));
         if joined.rate != before || joined.rate.is_none() && word.rate.is_some() {
             row.is_news_since = Some(now);
         }
@@ -312,7 +312,7 @@
     ///
     /// What is told late names a later end. It is believed: an endpoint that is taken for cold for too long is only left alone
     /// while others have room, one that is taken for warm too early falls over.
-    pub fn cool(&mut self, key: EndpointKey, until: Instant, rate: f64) {
+    pub fn mark_cold(&mut self, key: EndpointKey, until: Instant, rate: f64) {
         let Some(row) = self.rows.entry(key) else {
             return;
         };
@@ -322,7 +322,7 @@
     }
 
     /// Ends the cold times that are over. Gives the endpoints that are warm from now on.
-    pub fn warm_up(&mut self, now: Instant) -> Vec<EndpointKey> {
+    pub fn end_cold_periods(&mut self, now: Instant) -> Vec<EndpointKey> {
         let is_over = |r: &Row| r.cold.is_some_and(|c| now >= c.until);
         let rows = self.rows.iter_mut().filter(|(_, r)| is_over(r));
         let warm = rows.map(|(k, r)| {
