--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -118,7 +118,7 @@
         .peers
         .candidate_rank(now)
         .filter(|_| !known.is_starting);
-    rank.is_some_and(|r| known.candidacy.stands(now, r))
+    rank.is_some_and(|r| known.candidacy.may_join(now, r))
 }
 
 /// Takes in the platform's answer, and what this VM says of the lease from now on.
@@ -145,7 +145,7 @@
         }
         if l.is_held() {
             let notice = notice(site, l, true);
-            known.candidacy.hear(now, notice.clone());
+            known.candidacy.observe(now, notice.clone());
             known.lease_notice = Some((notice, sent + TTL));
         }
         site.metrics.holds_lease.set(i64::from(l.is_held()));
@@ -171,7 +171,7 @@
 {
     let notice = with_lease(lease, |l| notice(site, l, true));
     let mut known = site.known();
-    known.candidacy.hear(now, notice.clone());
+    known.candidacy.observe(now, notice.clone());
     known.lease_notice = Some((notice, now + TTL));
 }
 
@@ -189,7 +189,7 @@
         }
     });
     let mut known = site.known();
-    known.candidacy.listen(now);
+    known.candidacy.restart(now);
     known.lease_notice = None;
     site.metrics.holds_lease.set(0);
     tracing::info!(is_store_away, "lease lapsed");
@@ -204,7 +204,7 @@
     with_lease(lease, |l| {
         if l.is_held() {
             let notice = notice(site, l, false);
-            known.candidacy.hear(now, notice.clone());
+            known.candidacy.observe(now, notice.clone());
             known.lease_notice = Some((notice, now + RESIGNED_FOR));
             site.urgent.notify_one();
         }
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -147,7 +147,7 @@
         known.wanted.extend(w.wants.into_iter().map(|m| (m, now)));
         // A zone that repeats what is known here says nothing new, but is heard all the same.
         if let Some(notice) = w.lease
-            && known.candidacy.hear(now, heard(now, notice))
+            && known.candidacy.observe(now, heard(now, notice))
         {
             site.lease_free.notify_one();
         }
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -54,7 +54,7 @@
     let mut known = site.known();
     known.is_starting = false;
     if known.candidacy.fresh(now).is_none() {
-        known.candidacy.listen(now);
+        known.candidacy.restart(now);
     }
 }
 
--- a/crates/limehollow/src/candidacy.rs
+++ b/crates/limehollow/src/candidacy.rs
@@ -15,11 +15,11 @@
 
 /// After how long without a notice of the holder it counts as silent: above a dozen messages of its zone, and below the
 /// time after which the platform deals the lease on, so that a candidate stands when it does.
-pub const HOLDER_SILENT: Duration = Duration::from_millis(1200);
+pub const HOLDER_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long a VM listens for a holder after its start before it stands: three messages of a zone.
-pub const LISTEN_FIRST: Duration = Duration::from_millis(300);
+pub const STARTUP_WAIT: Duration = Duration::from_millis(300);
 /// The time between one candidate and the next: a call to the store and a message between zones.
-pub const NEXT_CANDIDATE: Duration = Duration::from_millis(300);
+pub const CANDIDATE_STAGGER: Duration = Duration::from_millis(300);
 
 /// By how much the fencing number rises from a holder that resigns to the next: it leaves, the next joins.
 const DIRECT: u64 = 2;
@@ -65,24 +65,24 @@
     #[must_use]
     pub fn fresh(&self, now: Instant) -> Option<&Notice> {
         let (at, notice) = self.last.as_ref()?;
-        (now.duration_since(*at) < HOLDER_SILENT).then_some(notice)
+        (now.duration_since(*at) < HOLDER_TIMEOUT).then_some(notice)
     }
 
     /// Tells whether the candidate of this rank stands for the lease now.
     #[must_use]
-    pub fn stands(&self, now: Instant, rank: usize) -> bool {
+    pub fn may_join(&self, now: Instant, rank: usize) -> bool {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let turn = NEXT_CANDIDATE.saturating_mul(rank);
+        let turn = CANDIDATE_STAGGER.saturating_mul(rank);
         let (since, silence) = match &self.last {
-            Some((at, notice)) if notice.holds => (*at, HOLDER_SILENT),
+            Some((at, notice)) if notice.holds => (*at, HOLDER_TIMEOUT),
             Some((at, _)) => (*at, Duration::ZERO),
-            None => (self.started, LISTEN_FIRST),
+            None => (self.started, STARTUP_WAIT),
         };
         now.duration_since(since) >= silence + turn
     }
 
     /// Begins to listen anew: this VM was frozen or cut off, and another may hold the lease by now.
-    pub fn listen(&mut self, now: Instant) {
+    pub fn restart(&mut self, now: Instant) {
         self.last = None;
         self.started = now;
     }
@@ -90,7 +90,7 @@
     /// Takes in what a VM says. Gives whether the lease has just become free.
     ///
     /// Words cross on their way: of two holders the one with the higher fencing number has it.
-    pub fn hear(&mut self, now: Instant, notice: Notice) -> bool {
+    pub fn observe(&mut self, now: Instant, notice: Notice) -> bool {
         let Some((at, last)) = &mut self.last else {
             let is_free = !notice.holds;
             self.last = Some((now, notice));
--- a/crates/limehollow/tests/candidacy.rs
+++ b/crates/limehollow/tests/candidacy.rs
@@ -1,6 +1,6 @@
 //! Who stands for the lease, and when, on paused time.
 
-use limehollow::candidacy::{Candidacy, HOLDER_SILENT, LISTEN_FIRST, NEXT_CANDIDATE, Notice};
+use limehollow::candidacy::{CANDIDATE_STAGGER, Candidacy, HOLDER_TIMEOUT, Notice, STARTUP_WAIT};
 use limehollow::group_lease::{Predecessor, Term};
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -25,12 +25,12 @@
 #[tokio::test(start_paused = true)]
 async fn stands_at_its_start_once_it_has_listened() {
     let c = Candidacy::new(Instant::now());
-    assert!(!c.stands(Instant::now(), 0));
-    advance(LISTEN_FIRST).await;
-    assert!(c.stands(Instant::now(), 0));
-    assert!(!c.stands(Instant::now(), 1), "the first goes before it");
-    advance(NEXT_CANDIDATE).await;
-    assert!(c.stands(Instant::now(), 1));
+    assert!(!c.may_join(Instant::now(), 0));
+    advance(STARTUP_WAIT).await;
+    assert!(c.may_join(Instant::now(), 0));
+    assert!(!c.may_join(Instant::now(), 1), "the first goes before it");
+    advance(CANDIDATE_STAGGER).await;
+    assert!(c.may_join(Instant::now(), 1));
 }
 
 #[tokio::test(start_paused = true)]
@@ -38,36 +38,36 @@
     let mut c = Candidacy::new(Instant::now());
     for _ in 0..20 {
         advance(Duration::from_millis(100)).await;
-        c.hear(Instant::now(), holds("vm-2", 4));
-        assert!(!c.stands(Instant::now(), 0));
+        c.observe(Instant::now(), holds("vm-2", 4));
+        assert!(!c.may_join(Instant::now(), 0));
     }
     assert_eq!(
         c.holder(Instant::now()).map(smol_str::SmolStr::as_str),
         Some("vm-2")
     );
-    advance(HOLDER_SILENT).await;
-    assert!(c.stands(Instant::now(), 0));
+    advance(HOLDER_TIMEOUT).await;
+    assert!(c.may_join(Instant::now(), 0));
     assert_eq!(c.holder(Instant::now()), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn stands_at_once_when_the_holder_resigns() {
     let mut c = Candidacy::new(Instant::now());
-    c.hear(Instant::now(), holds("vm-2", 4));
-    assert!(c.hear(Instant::now(), resigns("vm-2", 4, None)));
-    assert!(c.stands(Instant::now(), 0));
+    c.observe(Instant::now(), holds("vm-2", 4));
+    assert!(c.observe(Instant::now(), resigns("vm-2", 4, None)));
+    assert!(c.may_join(Instant::now(), 0));
     // It repeats that for a while; the turn of the next runs from its first word.
-    advance(NEXT_CANDIDATE).await;
-    assert!(!c.hear(Instant::now(), resigns("vm-2", 4, None)));
-    assert!(c.stands(Instant::now(), 1));
+    advance(CANDIDATE_STAGGER).await;
+    assert!(!c.observe(Instant::now(), resigns("vm-2", 4, None)));
+    assert!(c.may_join(Instant::now(), 1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn hear_late_words_of_an_earlier_holder() {
     let mut c = Candidacy::new(Instant::now());
-    c.hear(Instant::now(), holds("vm-3", 6));
-    assert!(!c.hear(Instant::now(), resigns("vm-2", 4, None)));
-    c.hear(Instant::now(), holds("vm-2", 4));
+    c.observe(Instant::now(), holds("vm-3", 6));
+    assert!(!c.observe(Instant::now(), resigns("vm-2", 4, None)));
+    c.observe(Instant::now(), holds("vm-2", 4));
     assert_eq!(
         c.holder(Instant::now()).map(smol_str::SmolStr::as_str),
         Some("vm-3")
@@ -79,13 +79,13 @@
     let mut c = Candidacy::new(Instant::now());
     let now = Instant::now();
     assert_eq!(c.predecessor(now, 5), Predecessor::Unknown);
-    c.hear(now, holds("vm-2", 4));
+    c.observe(now, holds("vm-2", 4));
     assert_eq!(
         c.predecessor(now, 6),
         Predecessor::Unknown,
         "it has not resigned"
     );
-    c.hear(now, resigns("vm-2", 4, Some(now)));
+    c.observe(now, resigns("vm-2", 4, Some(now)));
     assert_eq!(c.predecessor(now, 6), Predecessor::Ordered(now));
     assert_eq!(
         c.predecessor(now, 7),
@@ -93,7 +93,7 @@
         "another may have joined"
     );
     assert_eq!(c.predecessor(now, 4), Predecessor::Unknown);
-    advance(HOLDER_SILENT).await;
+    advance(HOLDER_TIMEOUT).await;
     assert_eq!(
         c.predecessor(Instant::now(), 6),
         Predecessor::Unknown,
@@ -104,12 +104,12 @@
 #[tokio::test(start_paused = true)]
 async fn listen_anew_after_a_freeze() {
     let mut c = Candidacy::new(Instant::now());
-    c.hear(Instant::now(), holds("vm-1", 4));
+    c.observe(Instant::now(), holds("vm-1", 4));
     advance(Duration::from_secs(8)).await;
-    c.listen(Instant::now());
-    assert!(!c.stands(Instant::now(), 0), "another may hold it by now");
-    advance(LISTEN_FIRST).await;
-    assert!(c.stands(Instant::now(), 0));
+    c.restart(Instant::now());
+    assert!(!c.may_join(Instant::now(), 0), "another may hold it by now");
+    advance(STARTUP_WAIT).await;
+    assert!(c.may_join(Instant::now(), 0));
 }
 
 #[tokio::test(start_paused = true)]
@@ -118,9 +118,9 @@
     // again.
     let mut c = Candidacy::new(Instant::now());
     let fence = |era, generation| Term { era, generation }.fence();
-    c.hear(Instant::now(), holds("vm-1", fence(0, 40)));
-    advance(HOLDER_SILENT).await;
-    c.hear(Instant::now(), holds("vm-2", fence(1, 36)));
+    c.observe(Instant::now(), holds("vm-1", fence(0, 40)));
+    advance(HOLDER_TIMEOUT).await;
+    c.observe(Instant::now(), holds("vm-2", fence(1, 36)));
     let holder = c.holder(Instant::now());
     assert!(holder.is_some_and(|vm| vm == "vm-2"), "{holder:?}");
 }
