--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -85,7 +85,7 @@
     let known = site.known();
     let (duty, _) = duty(subject);
     let silent = |a: &SocketAddr| known.silences.contains(now, duty, *a);
-    let all = known.peers.keepers(now, subject.name()).into_iter();
+    let all = known.peers.coordinators(now, subject.name()).into_iter();
     let speaking = all.filter(|k| !k.as_ref().is_some_and(silent));
     speaking.take(MOST_ASKED).collect()
 }
@@ -188,7 +188,7 @@
 
 /// Tells whether this VM keeps a limit's pool, as far as it knows.
 fn is_keeper(peers: &Peers, now: Instant, subject: &Subject) -> bool {
-    matches!(peers.keepers(now, subject.name()).first(), Some(None))
+    matches!(peers.coordinators(now, subject.name()).first(), Some(None))
 }
 
 /// Begins a round of collections: gives the limits whose pools this VM keeps, and the VMs to collect from.
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -100,7 +100,7 @@
     }
     let now = site.now();
     let known = site.known();
-    match known.peers.keepers(now, &m.model).first() {
+    match known.peers.coordinators(now, &m.model).first() {
         Some(None) => Chooser::Keeper,
         Some(Some(a)) if !known.silences.contains(now, Duty::Places, *a) => Chooser::Other(*a),
         _ => Chooser::Alone,
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -22,7 +22,12 @@
     take_in_crashes(site, &mut w);
     let says_nothing = w.scope == Scope::News && w.reports.is_empty() && w.crashes.is_empty();
     let passes_on = is_forwarded && !says_nothing && is_due(site, &w);
-    let on = passes_on.then(|| (w.clone(), site.known().peers.listeners(site.now())));
+    let on = passes_on.then(|| {
+        (
+            w.clone(),
+            site.known().peers.responsive_neighbours(site.now()),
+        )
+    });
     take_in(site, w);
     on
 }
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -151,7 +151,7 @@
     /// Tells whether the whole message may go before its time, when there is something to say anyway: to so many that listen it
     /// goes the more seldom, so that it costs as much in each zone.
     fn may_say_all(&self, now: Instant) -> bool {
-        let listeners = self.site.known().peers.listeners(now).len();
+        let listeners = self.site.known().peers.responsive_neighbours(now).len();
         let pause = EARLY_EACH * u32::try_from(listeners).unwrap_or(u32::MAX);
         listeners > 0 && now.saturating_duration_since(self.said_all) >= pause
     }
@@ -169,7 +169,7 @@
         own.rates = self.rates(now, known);
         own.reports = known.reports.take();
         own.wants = std::mem::take(&mut known.wants).into_iter().collect();
-        let mut to = known.peers.told_here(now);
+        let mut to = known.peers.zone_recipients(now);
         if !own.wants.is_empty() {
             to.extend(controller(now, known).filter(|a| !to.contains(a)));
         }
@@ -201,7 +201,7 @@
         let mut own = self.own(now, known, told.own_zone);
         own.rates = self.rates(now, known);
         own.reports = known.reports.take();
-        let to = known.peers.told_here(now);
+        let to = known.peers.zone_recipients(now);
         let mut outgoing = abroad(&own, now, known, told.other_zones);
         outgoing.extend(list_news(&own, known, &to));
         let change = Message {
@@ -331,7 +331,7 @@
         outgoing.push((news(own), known.peers.zone_targets(now)));
     }
     if !crashed.is_empty() {
-        outgoing.push((crashes(own, crashed), known.peers.zone_turns()));
+        outgoing.push((crashes(own, crashed), known.peers.next_in_other_zones()));
     }
     outgoing
 }
--- a/crates/limehollow/src/peers.rs
+++ b/crates/limehollow/src/peers.rs
@@ -252,7 +252,7 @@
 
     /// Gives the addresses of the own zone's other VMs that were heard lately, or may just be starting.
     #[must_use]
-    pub fn listeners(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn responsive_neighbours(&self, now: Instant) -> Vec<SocketAddr> {
         let (listening, _) = self.by_listening(now);
         listening
     }
@@ -290,7 +290,7 @@
     ///
     /// VMs may differ in this for a second; what is kept so must bear it.
     #[must_use]
-    pub fn keepers(&self, now: Instant, name: &str) -> Vec<Option<SocketAddr>> {
+    pub fn coordinators(&self, now: Instant, name: &str) -> Vec<Option<SocketAddr>> {
         let heard = |z: &&OtherZone| now.duration_since(z.heard) < KEEPER_SILENT_AFTER;
         let others = self.zones.iter().filter(|(_, z)| heard(z));
         let others = others.filter_map(|(zone, z)| Some((zone, Some(self.address(&z.from)?))));
@@ -416,7 +416,7 @@
     }
 
     /// Gives to whom of the own zone a message goes: to all that listen, and to some of the silent ones in turn.
-    pub fn told_here(&mut self, now: Instant) -> Vec<SocketAddr> {
+    pub fn zone_recipients(&mut self, now: Instant) -> Vec<SocketAddr> {
         let (mut to, silent) = self.by_listening(now);
         let some = silent.len().min(SILENT_TOLD);
         let first = self.silent_turn.checked_rem(silent.len()).unwrap_or(0);
@@ -426,7 +426,7 @@
     }
 
     /// Gives one VM of each other zone, in turn.
-    pub fn zone_turns(&mut self) -> Vec<SocketAddr> {
+    pub fn next_in_other_zones(&mut self) -> Vec<SocketAddr> {
         self.turn += 1;
         let by_zone = self.other_zones();
         let turns = by_zone.values().map(|vms| vms[self.turn % vms.len()].1);
--- a/crates/limehollow/tests/peers.rs
+++ b/crates/limehollow/tests/peers.rs
@@ -197,20 +197,20 @@
         p.learn(format!("vm-{i}").into(), "a".into(), address(i), 250);
     }
     // Those that may just be starting are told all.
-    assert_eq!(p.told_here(Instant::now()).len(), 20);
+    assert_eq!(p.zone_recipients(Instant::now()).len(), 20);
     advance(Duration::from_secs(5)).await;
     let mut reached = BTreeSet::new();
     for _ in 0..10 {
-        let to = p.told_here(Instant::now());
+        let to = p.zone_recipients(Instant::now());
         assert_eq!(to.len(), 2, "{to:?}");
         reached.extend(to);
     }
     assert_eq!(reached.len(), 20);
-    assert_eq!(p.listeners(Instant::now()), []);
+    assert_eq!(p.responsive_neighbours(Instant::now()), []);
     // One that comes back is told at once, each time.
     p.receive(Instant::now(), "vm-7", 1, 1);
     for _ in 0..3 {
-        assert!(p.told_here(Instant::now()).contains(&address(7)));
+        assert!(p.zone_recipients(Instant::now()).contains(&address(7)));
     }
 }
 
