--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -70,7 +70,7 @@
 
     /// Gives the longest time between two tries to read the store.
     pub(crate) fn longest_pause(&self) -> Duration {
-        let here = self.site.known().peers.alive_here(self.site.now());
+        let here = self.site.known().peers.alive_in_zone(self.site.now());
         #[expect(clippy::cast_precision_loss, reason = "a zone has few VMs")]
         let here = here as f64;
         LONGEST_PAUSE.mul_f64((here / TRYING).max(1.0))
@@ -95,7 +95,7 @@
         let now = self.site.now();
         let is_alone = {
             let known = self.site.known();
-            known.peers.is_zone_waiter(now) || known.peers.failing_here(now) == 0
+            known.peers.is_zone_waiter(now) || known.peers.failing_in_zone(now) == 0
         };
         if is_alone {
             return Duration::ZERO;
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -158,7 +158,7 @@
     let mut named = here.into_iter().chain(last);
     match named.nth(asked) {
         Some(name) => known.peers.address(name),
-        None => known.peers.any(rand::random::<u32>() as usize),
+        None => known.peers.nth_address(rand::random::<u32>() as usize),
     }
 }
 
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -233,7 +233,7 @@
     /// Takes in where a VM is.
     pub(crate) fn learn(&mut self, vm: &Vm) -> bool {
         let (name, zone) = (vm.name.clone(), vm.zone.clone());
-        self.peers.learn(name, zone, vm.address, vm.millicores)
+        self.peers.upsert(name, zone, vm.address, vm.millicores)
     }
 
     /// Notes that the store shows a VM.
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -158,8 +158,8 @@
     P: Protocol,
 {
     let known = site.known();
-    let others = known.peers.alive_here(now) - 1;
-    let none_reads = others > 0 && known.peers.failing_here(now) == others;
+    let others = known.peers.alive_in_zone(now) - 1;
+    let none_reads = others > 0 && known.peers.failing_in_zone(now) == others;
     none_reads && known.readings.is_failing(Feed::Endpoints)
 }
 
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -98,7 +98,7 @@
         if let Ok(address) = w.address.parse()
             && known
                 .peers
-                .learn(w.from.clone(), zone.clone(), address, w.millicores)
+                .upsert(w.from.clone(), zone.clone(), address, w.millicores)
         {
             tracing::info!(vm = %w.from, %address, "a VM was heard of first from itself");
         }
@@ -117,8 +117,8 @@
             Scope::Vm | Scope::Change => {
                 let is_new = known.peers.receive(now, &w.from, w.start, w.number);
                 if is_new && zone == site.zone {
-                    known.peers.note_store(&w.from, w.reaches_store);
-                    known.peers.note_list(&w.from, w.reads_list);
+                    known.peers.set_reaches_store(&w.from, w.reaches_store);
+                    known.peers.set_reads_list(&w.from, w.reads_list);
                     known.note_ahead_here(&w.from, w.positions.endpoints);
                 }
                 if is_new && zone == site.zone && w.scope == Scope::Vm {
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -453,7 +453,7 @@
     }
     let whole = Message {
         scope: Scope::Zone,
-        vms: u16::try_from(known.peers.alive_here(now)).unwrap_or(u16::MAX),
+        vms: u16::try_from(known.peers.alive_in_zone(now)).unwrap_or(u16::MAX),
         demand: demand.into_iter().collect(),
         gone: own.gone.clone(),
         leaving: own.leaving.clone(),
@@ -512,7 +512,7 @@
 /// Gives what a VM of this zone says of the lease, for the other zones.
 fn zone_notice(now: Instant, known: &Known) -> Option<LeaseNotice> {
     let heard = known.candidacy.fresh(now);
-    let here = heard.filter(|w| known.peers.is_here(&w.vm));
+    let here = heard.filter(|w| known.peers.is_in_own_zone(&w.vm));
     here.map(|w| said(now, w))
 }
 
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -344,7 +344,7 @@
                 "copies": e.copies,
             })
         });
-        let heard = known.peers.silences(now);
+        let heard = known.peers.message_ages(now);
         let heard = heard.map(|(vm, t)| (vm.clone(), t.map(|t| t.as_millis())));
         let heard: BTreeMap<SmolStr, Option<u128>> = heard.collect();
         serde_json::json!({
--- a/crates/limehollow-node/tests/following.rs
+++ b/crates/limehollow-node/tests/following.rs
@@ -115,7 +115,7 @@
     for i in 0..40 {
         let vm = format!("vm-{}", i + 2);
         let mut known = site.known();
-        known.peers.learn(
+        known.peers.upsert(
             vm.as_str().into(),
             "a".into(),
             ([127, 0, 0, 1], 7000).into(),
--- a/crates/limehollow-node/tests/rig/crashing.rs
+++ b/crates/limehollow-node/tests/rig/crashing.rs
@@ -209,7 +209,7 @@
 fn introduce(site: &Arc<Site<Plain>>, others: &[Arc<Site<Plain>>]) {
     for other in others {
         let s = other.settings.load();
-        site.known().peers.learn(
+        site.known().peers.upsert(
             s.name.as_str().into(),
             other.zone.clone(),
             s.peer_address(),
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -255,7 +255,7 @@
         known.has_vms = true;
         for other in &self.vms {
             let s = other.site.settings.load();
-            known.peers.learn(
+            known.peers.upsert(
                 s.name.as_str().into(),
                 other.site.zone.clone(),
                 s.peer_address(),
--- a/crates/limehollow-node/tests/sums_in_parts.rs
+++ b/crates/limehollow-node/tests/sums_in_parts.rs
@@ -78,7 +78,7 @@
     for endpoints in [1, 30, 1_000, 4_000] {
         let here = vm("vm-1", "a", "127.0.0.1", endpoints);
         let there = vm("vm-2", "b", "127.0.0.2", endpoints);
-        here.known().peers.learn(
+        here.known().peers.upsert(
             "vm-2".into(),
             "b".into(),
             ([127, 0, 0, 2], 7000).into(),
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -128,14 +128,14 @@
     let mut known = site.known();
     let gap = Duration::from_secs(1);
     known.readings.read(Feed::Endpoints, site.now(), gap);
-    known.peers.learn(
+    known.peers.upsert(
         "vm-2".into(),
         site.zone.clone(),
         ([127, 0, 0, 2], 7000).into(),
         250,
     );
     known.peers.receive(site.now(), "vm-2", 1, 1);
-    assert_eq!(known.peers.alive_here(site.now()), 2);
+    assert_eq!(known.peers.alive_in_zone(site.now()), 2);
     site.clock.lose(AWAY);
     let now = site.now();
     let f = known
@@ -143,7 +143,7 @@
         .freshness(Feed::Endpoints)
         .expect("it was read");
     assert_eq!(f.age(now), AWAY);
-    assert_eq!(known.peers.alive_here(now), 1);
+    assert_eq!(known.peers.alive_in_zone(now), 1);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/limehollow/src/peers.rs
+++ b/crates/limehollow/src/peers.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// After how long without a message a VM counts as silent: eight messages.
-pub const SILENT_AFTER: Duration = Duration::from_millis(1000);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// For how long after its start a VM takes those that it hasn't heard yet for alive: as long as makes a VM silent,
 /// with some room for slow starts.
 const INTRODUCTION: Duration = Duration::from_millis(1500);
@@ -122,12 +122,12 @@
     pub fn alive(&self, now: Instant) -> usize {
         let zones = self.zones.values();
         let others = zones.filter(|z| now.duration_since(z.heard) < ZONE_SILENT_AFTER);
-        self.alive_here(now) + others.map(|z| z.vms).sum::<usize>()
+        self.alive_in_zone(now) + others.map(|z| z.vms).sum::<usize>()
     }
 
     /// Counts the VMs of the own zone that are heard, this one too.
     #[must_use]
-    pub fn alive_here(&self, now: Instant) -> usize {
+    pub fn alive_in_zone(&self, now: Instant) -> usize {
         self.heard_here(now).count() + 1
     }
 
@@ -178,7 +178,7 @@
 
     /// Counts the VMs of the zone that say that they can't read the list of endpoints.
     #[must_use]
-    pub fn failing_here(&self, now: Instant) -> usize {
+    pub fn failing_in_zone(&self, now: Instant) -> usize {
         self.heard_here(now).filter(|(_, p)| !p.reads_list).count()
     }
 
@@ -211,7 +211,7 @@
         let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
         let before = here.filter(|(name, p)| {
             let is_alive = match p.heard {
-                Some(t) => now.duration_since(t) < SILENT_AFTER,
+                Some(t) => now.duration_since(t) < PEER_TIMEOUT,
                 None => now.duration_since(p.learnt) < self.introduction(),
             };
             is_alive && (Reverse(p.millicores), *name) < mine
@@ -226,7 +226,7 @@
 
     /// Tells whether a VM is this one, or one of its zone.
     #[must_use]
-    pub fn is_here(&self, name: &str) -> bool {
+    pub fn is_in_own_zone(&self, name: &str) -> bool {
         let here = |p: &Peer| p.zone == self.zone;
         name == self.me || self.rows.get(name).is_some_and(here)
     }
@@ -274,7 +274,7 @@
 
     /// Gives the address of another VM, by any number.
     #[must_use]
-    pub fn any(&self, number: usize) -> Option<SocketAddr> {
+    pub fn nth_address(&self, number: usize) -> Option<SocketAddr> {
         let n = number.checked_rem(self.rows.len())?;
         self.rows.values().nth(n).map(|p| p.address)
     }
@@ -302,7 +302,7 @@
     }
 
     /// Gives for each VM how long ago it was heard, for a dump.
-    pub fn silences(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, Option<Duration>)> {
+    pub fn message_ages(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, Option<Duration>)> {
         let rows = self.rows.iter();
         rows.map(move |(name, p)| (name, p.heard.map(|t| now.duration_since(t))))
     }
@@ -312,7 +312,7 @@
     fn present_here(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
         let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
         here.filter(move |(_, p)| match p.heard {
-            Some(t) => now.duration_since(t) < SILENT_AFTER,
+            Some(t) => now.duration_since(t) < PEER_TIMEOUT,
             None => now.duration_since(p.learnt) < self.introduction(),
         })
     }
@@ -329,7 +329,7 @@
         let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
         here.filter(move |(_, p)| {
             p.heard
-                .is_some_and(|t| now.duration_since(t) < SILENT_AFTER)
+                .is_some_and(|t| now.duration_since(t) < PEER_TIMEOUT)
         })
     }
 }
@@ -337,7 +337,7 @@
 /// Commands.
 impl Peers {
     /// Takes in where a VM is, and its processor in thousandths of a core. Gives whether it is a new one.
-    pub fn learn(
+    pub fn upsert(
         &mut self,
         name: SmolStr,
         zone: ZoneName,
@@ -392,14 +392,14 @@
     }
 
     /// Notes whether a VM says that it reaches the platform's store.
-    pub fn note_store(&mut self, name: &str, reaches_store: bool) {
+    pub fn set_reaches_store(&mut self, name: &str, reaches_store: bool) {
         if let Some(p) = self.rows.get_mut(name) {
             p.reaches_store = reaches_store;
         }
     }
 
     /// Notes whether a VM says that it can read the list of endpoints.
-    pub fn note_list(&mut self, name: &str, reads_list: bool) {
+    pub fn set_reads_list(&mut self, name: &str, reads_list: bool) {
         if let Some(p) = self.rows.get_mut(name) {
             p.reads_list = reads_list;
         }
--- a/crates/limehollow/tests/peers.rs
+++ b/crates/limehollow/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Who is heard, who leads a zone, and to whom.
 
-use limehollow::peers::{Peers, SILENT_AFTER};
+use limehollow::peers::{PEER_TIMEOUT, Peers};
 use smol_str::{SmolStr, format_smolstr};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     let mut p = Peers::new("vm-2".into(), "a".into(), 250);
     for i in [1_u16, 3, 4, 5, 6] {
         let zone = if i < 4 { "a" } else { "b" };
-        assert!(p.learn(format_smolstr!("vm-{i}"), zone.into(), address(i), 250));
+        assert!(p.upsert(format_smolstr!("vm-{i}"), zone.into(), address(i), 250));
     }
     p
 }
@@ -27,9 +27,9 @@
 #[test]
 fn learn_itself_and_again() {
     let mut p = peers();
-    assert!(!p.learn("vm-2".into(), "a".into(), address(2), 250));
+    assert!(!p.upsert("vm-2".into(), "a".into(), address(2), 250));
     assert!(
-        !p.learn("vm-3".into(), "a".into(), address(33), 250),
+        !p.upsert("vm-3".into(), "a".into(), address(33), 250),
         "it has moved"
     );
     assert_eq!(p.address("vm-3"), Some(address(33)));
@@ -41,7 +41,7 @@
     // At its start vm-2 takes vm-1 and vm-3 for alive, though it has heard neither: vm-1 goes before it.
     let mut p = peers();
     assert!(p.is_candidate(Instant::now()));
-    p.learn("vm-0".into(), "a".into(), address(9), 250);
+    p.upsert("vm-0".into(), "a".into(), address(9), 250);
     assert!(!p.is_candidate(Instant::now()), "vm-0 and vm-1 stand");
     advance(Duration::from_millis(1600)).await;
     assert!(p.is_candidate(Instant::now()), "neither was ever heard");
@@ -52,16 +52,16 @@
     let mut p = peers();
     advance(Duration::from_secs(2)).await;
     let now = Instant::now();
-    p.learn("vm-0".into(), "a".into(), address(9), 250);
+    p.upsert("vm-0".into(), "a".into(), address(9), 250);
     p.receive(now, "vm-0", START, 1);
     p.receive(now, "vm-1", START, 1);
     assert!(!p.is_candidate(now));
     // One that says that it can't reach the store leaves its place, and so does one that falls silent.
-    p.note_store("vm-0", false);
+    p.set_reaches_store("vm-0", false);
     assert!(p.is_candidate(now));
-    p.note_store("vm-0", true);
+    p.set_reaches_store("vm-0", true);
     assert!(!p.is_candidate(now));
-    assert!(p.is_candidate(now + SILENT_AFTER));
+    assert!(p.is_candidate(now + PEER_TIMEOUT));
 }
 
 #[tokio::test(start_paused = true)]
@@ -72,9 +72,9 @@
     for i in 1..5 {
         let name = format_smolstr!("vm-{i}");
         assert!(p.is_candidate(now));
-        p.learn(name.clone(), "a".into(), address(i), 250);
+        p.upsert(name.clone(), "a".into(), address(i), 250);
         p.receive(now, &name, START, 1);
-        p.note_store(&name, false);
+        p.set_reaches_store(&name, false);
     }
     assert!(!p.is_candidate(now));
 }
@@ -82,8 +82,8 @@
 #[tokio::test(start_paused = true)]
 async fn candidate_is_the_stronger_one() {
     let mut p = peers();
-    p.learn("vm-3".into(), "a".into(), address(3), 500);
-    p.learn("vm-9".into(), "a".into(), address(9), 500);
+    p.upsert("vm-3".into(), "a".into(), address(3), 500);
+    p.upsert("vm-9".into(), "a".into(), address(9), 500);
     assert!(!p.is_candidate(Instant::now()), "both have more processor");
 }
 
@@ -91,7 +91,7 @@
 async fn zone_leader_is_the_strongest_that_is_heard() {
     let mut p = peers();
     let now = Instant::now();
-    p.learn("vm-3".into(), "a".into(), address(3), 500);
+    p.upsert("vm-3".into(), "a".into(), address(3), 500);
     p.receive(now, "vm-1", START, 1);
     assert_eq!(p.zone_leader(now).map(SmolStr::as_str), Some("vm-1"));
     p.receive(now, "vm-3", START, 1);
@@ -108,7 +108,7 @@
     p.receive(now, "vm-1", START, 1);
     assert!(!p.is_zone_leader(now));
     assert_eq!(p.zone_leader(now).map(SmolStr::as_str), Some("vm-1"));
-    advance(SILENT_AFTER).await;
+    advance(PEER_TIMEOUT).await;
     assert!(p.is_zone_leader(Instant::now()));
     assert_eq!(p.zone_leader(Instant::now()), None);
 }
@@ -125,12 +125,12 @@
     assert!(p.is_zone_reader(now), "nobody else is heard");
     p.receive(now, "vm-1", START, 1);
     assert!(!p.is_zone_reader(now), "vm-1 comes before");
-    p.note_list("vm-1", false);
+    p.set_reads_list("vm-1", false);
     assert!(p.is_zone_reader(now), "vm-1 is turned away by the store");
     assert!(!p.is_zone_leader(now), "it leads all the same");
-    p.note_list("vm-1", true);
+    p.set_reads_list("vm-1", true);
     assert!(!p.is_zone_reader(now));
-    advance(SILENT_AFTER).await;
+    advance(PEER_TIMEOUT).await;
     assert!(p.is_zone_reader(Instant::now()), "vm-1 is silent");
 }
 
@@ -151,10 +151,10 @@
     p.receive(Instant::now(), "vm-3", START, 1);
     p.receive_zone(Instant::now(), "b".into(), "vm-4".into(), 3);
     assert_eq!(
-        (p.alive(Instant::now()), p.alive_here(Instant::now())),
+        (p.alive(Instant::now()), p.alive_in_zone(Instant::now())),
         (5, 2)
     );
-    advance(SILENT_AFTER * 3).await;
+    advance(PEER_TIMEOUT * 3).await;
     assert_eq!(p.alive(Instant::now()), 1);
 }
 
@@ -175,7 +175,7 @@
         assert_eq!(p.zone_targets(Instant::now()), [address(5)]);
     }
     // Once it is silent, the others are told in turn as well.
-    advance(SILENT_AFTER).await;
+    advance(PEER_TIMEOUT).await;
     let mut reached = BTreeSet::new();
     for _ in 0..3 {
         let to = p.zone_targets(Instant::now());
@@ -194,7 +194,7 @@
 async fn told_here_silent_vms_in_turn() {
     let mut p = Peers::new("vm-0".into(), "a".into(), 250);
     for i in 1..=20 {
-        p.learn(format!("vm-{i}").into(), "a".into(), address(i), 250);
+        p.upsert(format!("vm-{i}").into(), "a".into(), address(i), 250);
     }
     // Those that may just be starting are told all.
     assert_eq!(p.zone_recipients(Instant::now()).len(), 20);
@@ -219,7 +219,7 @@
     let zone = |me: &str, zone: &str| {
         let mut p = Peers::new(me.into(), zone.into(), 250);
         for (name, z) in [("vm-1", "a"), ("vm-2", "b"), ("vm-3", "a"), ("vm-4", "b")] {
-            p.learn(name.into(), z.into(), address(1), 250);
+            p.upsert(name.into(), z.into(), address(1), 250);
         }
         p.candidate_rank(Instant::now())
     };
