--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -458,7 +458,7 @@
     pub(crate) fn note_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
         let tag = StartTag::from(start);
         let from = (c.request, c.origin);
-        let outcome = self.quarantine.note_crash(now, from, tag, c.timing);
+        let outcome = self.quarantine.record_crash(now, from, tag, c.timing);
         if may_log() {
             let record = self.quarantine.record(now, c.request);
             tracing::info!(
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -80,7 +80,7 @@
             take_in(site, vm, &records);
             // Not what it said before: it may have started again since, and know nothing.
             let answered = digest(site.now(), &records);
-            site.known().quarantine.note_contained(answered);
+            site.known().quarantine.mark_contained(answered);
             u32::try_from(records.len()).unwrap_or(u32::MAX)
         }
         Err(why) => {
@@ -227,7 +227,7 @@
     let record = site.known().quarantine.record(site.now(), request);
     let record = record.filter(|r| !r.crashes.is_empty());
     match store.keep_crash_record(request, record.as_ref()).await {
-        Ok(()) => site.known().quarantine.note_saved(request),
+        Ok(()) => site.known().quarantine.mark_saved(request),
         Err(e) => {
             tracing::info!(%request, error = %e, "a quarantined request can't be kept yet");
             sleep(FIRST_PAUSE).await;
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -434,7 +434,7 @@
     /// Takes in that an endpoint has run a request to its end: it doesn't crash those that run it.
     pub(crate) fn note_answer(&self, request: Fingerprint) {
         let now = self.now();
-        if self.known().quarantine.note_answer(now, request) {
+        if self.known().quarantine.record_answer(now, request) {
             self.tell_cleared(request, "an endpoint that ran it");
         }
     }
--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -254,7 +254,7 @@
     }
 
     /// Notes that a start of an endpoint crashed while it had a request.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         now: Instant,
         (request, origin): (Fingerprint, OriginTag),
@@ -281,7 +281,7 @@
     }
 
     /// Notes that an endpoint has run a request to its end. Gives whether anything spoke against it, which it does no more.
-    pub fn note_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
+    pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
         self.answers.note(now, request);
         self.clear(now, request)
     }
@@ -402,13 +402,13 @@
     }
 
     fn set_digest(&mut self, now: Instant, digest: u64) {
-        self.note_contained(self.digest);
+        self.mark_contained(self.digest);
         self.digest = digest;
         self.changed = Some(now);
     }
 
     /// Notes that all is known that a VM with this digest knows.
-    pub fn note_contained(&mut self, digest: u64) {
+    pub fn mark_contained(&mut self, digest: u64) {
         self.contained.push_front(digest);
         self.contained.truncate(MAX_CONTAINED);
     }
@@ -466,7 +466,7 @@
     }
 
     /// Notes that it is kept.
-    pub fn note_saved(&mut self, request: Fingerprint) {
+    pub fn mark_saved(&mut self, request: Fingerprint) {
         self.unsaved.remove(&request);
     }
 
--- a/crates/limehollow/tests/isolation.rs
+++ b/crates/limehollow/tests/isolation.rs
@@ -156,7 +156,7 @@
             let origin = IpAddr::V4(Ipv4Addr::LOCALHOST).into();
             let start = StartTag::from(&e.instance);
             self.quarantine
-                .note_crash(self.now, (r.request, origin), start, timing);
+                .record_crash(self.now, (r.request, origin), start, timing);
             let ending = Ending::Failed(Failure::Broken);
             self.balance.finish(self.now, r.sent, ending);
             if !r.is_cause {
@@ -198,7 +198,7 @@
         for r in whole {
             let first = READING;
             self.balance.finish(now, r.sent, Ending::Whole { first });
-            self.quarantine.note_answer(now, r.request);
+            self.quarantine.record_answer(now, r.request);
         }
         if self.rng.random_bool(STREAMS_PER_STEP) {
             self.asked += 1;
--- a/crates/limehollow/tests/quarantine.rs
+++ b/crates/limehollow/tests/quarantine.rs
@@ -29,7 +29,7 @@
 }
 
 fn crash(q: &mut Quarantine, now: Instant, request: Fingerprint, n: usize) -> Outcome {
-    q.note_crash(now, (request, origin(1)), start(n), Timing::Early)
+    q.record_crash(now, (request, origin(1)), start(n), Timing::Early)
 }
 
 fn is_held(q: &Quarantine, now: Instant, request: Fingerprint) -> bool {
@@ -63,10 +63,10 @@
 fn standing_late_crashes_need_five() {
     let (mut q, now, r) = (Quarantine::default(), Instant::now(), request(1, 1));
     for n in 0..4 {
-        q.note_crash(now, (r, origin(1)), start(n), Timing::Late);
+        q.record_crash(now, (r, origin(1)), start(n), Timing::Late);
         assert_eq!(q.standing(now, r), Standing::Suspect);
     }
-    q.note_crash(now, (r, origin(1)), start(4), Timing::Late);
+    q.record_crash(now, (r, origin(1)), start(4), Timing::Late);
     assert!(is_held(&q, now, r));
 }
 
@@ -78,7 +78,7 @@
             id: "i-1".into(),
             born,
         };
-        q.note_crash(now, (r, origin(1)), StartTag::from(&i), Timing::Early);
+        q.record_crash(now, (r, origin(1)), StartTag::from(&i), Timing::Early);
     }
     assert!(is_held(&q, now, r));
 }
@@ -159,7 +159,7 @@
     crash(&mut q, now, suspect, 1);
     for n in 0..3 * MAX_RECORDS {
         let later = now + Duration::from_millis(n as u64);
-        q.note_crash(later, (request(3, n), origin(3)), start(n), Timing::Early);
+        q.record_crash(later, (request(3, n), origin(3)), start(n), Timing::Early);
     }
     assert_eq!(q.records(now).len(), MAX_RECORDS);
     assert!(is_held(&q, now, cause));
@@ -171,7 +171,7 @@
     let (mut a, mut b) = (Quarantine::default(), Quarantine::default());
     let (now, r) = (Instant::now(), request(1, 1));
     let later = now + Duration::from_secs(30);
-    a.note_answer(now, r);
+    a.record_answer(now, r);
     // All endpoints that run what many callers ask for crash at once, as one VM sees it.
     for n in 0..3 {
         crash(&mut b, later, r, n);
@@ -193,7 +193,7 @@
     let (mut q, now) = (Quarantine::default(), Instant::now());
     for n in 0..20 {
         crash(&mut q, now, request(1, n), n);
-        q.note_crash(now, (request(2, n), origin(2)), start(n), Timing::Late);
+        q.record_crash(now, (request(2, n), origin(2)), start(n), Timing::Late);
     }
     let (mut own_zone, mut other_zones) = (0, 0);
     for _ in 0..10 {
