--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use limehollow::id::EndpointKey;
 use limehollow::instance::Instance;
-use limehollow::quota::ON_THE_WAY;
+use limehollow::quota::MAX_TRANSFER_TIME;
 use limehollow::verdict::{Failure, Verdict};
 use smol_str::{SmolStr, format_smolstr};
 use std::io::ErrorKind;
@@ -228,7 +228,7 @@
         Room::Exempt => true,
         Room::Unlimited => wishes.rate(to.key).is_none(),
         // The sum over all VMs reckons with so much time between the grant and the sending.
-        Room::Granted(at) => now.saturating_duration_since(at) <= ON_THE_WAY,
+        Room::Granted(at) => now.saturating_duration_since(at) <= MAX_TRANSFER_TIME,
     };
     if has_room && !wishes.is_backing_off(now, to.key) {
         Ok(())
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -23,7 +23,7 @@
 use limehollow::job::Job;
 use limehollow::load::Ending;
 use limehollow::quarantine::Standing;
-use limehollow::quota::ON_THE_WAY;
+use limehollow::quota::MAX_TRANSFER_TIME;
 use limehollow::retry::Repeat;
 use limehollow::retry_window::{RepeatAllowance, RepeatWindow};
 use limehollow::verdict::{Failure, Verdict};
@@ -465,11 +465,11 @@
 
     /// Gives back what the request took of its workspace's limit, if that was so recently that the sum over all VMs allows it.
     fn give_back(&self) {
-        if let Some(p) = self.pass.filter(|_| self.waited() <= ON_THE_WAY) {
+        if let Some(p) = self.pass.filter(|_| self.waited() <= MAX_TRANSFER_TIME) {
             let mut known = self.site.known();
             known
                 .quotas
-                .give_back(self.site.now(), &p.workspace, self.taken);
+                .refund(self.site.now(), &p.workspace, self.taken);
         }
     }
 
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -312,7 +312,7 @@
         match self.balance.backpressure.limit(key) {
             Some(l) if l.is_cold => self.quotas.limit_cold_endpoint(now, id, l.rate),
             Some(l) => self.quotas.limit_endpoint(now, id, l.rate),
-            None => self.quotas.free_endpoint(id),
+            None => self.quotas.remove_endpoint_limit(id),
         }
     }
 
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -48,7 +48,7 @@
 where
     P: Protocol,
 {
-    if site.known().quotas.take(site.now(), subject, tokens) {
+    if site.known().quotas.acquire(site.now(), subject, tokens) {
         return Wish::Granted;
     }
     for keeper in keepers(site, subject) {
@@ -129,7 +129,7 @@
     }
     let now = site.now();
     if !is_keeper(&known.peers, now, subject) {
-        let granted = known.quotas.take(now, subject, tokens);
+        let granted = known.quotas.acquire(now, subject, tokens);
         return if granted {
             Reply::Granted
         } else {
@@ -161,7 +161,7 @@
     known.note_vms(now, vms_known);
     let handed = subjects
         .iter()
-        .map(|s| known.quotas.hand_over(now, s, keeper));
+        .map(|s| known.quotas.transfer(now, s, keeper));
     Reply::Earnings(handed.collect())
 }
 
@@ -205,8 +205,8 @@
     let mine: Arc<[Subject]> = all.filter(is_mine).cloned().collect();
     let me = SmolStr::new(site.me.as_str());
     for s in mine.iter() {
-        if let Some(tokens) = known.quotas.hand_over(now, s, &me) {
-            known.quotas.collect(now, s, tokens);
+        if let Some(tokens) = known.quotas.transfer(now, s, &me) {
+            known.quotas.credit(now, s, tokens);
         }
     }
     let others = if mine.is_empty() {
@@ -237,7 +237,7 @@
     let mut known = site.known();
     for (s, tokens) in subjects.iter().zip(handed) {
         if let Some(tokens) = tokens {
-            known.quotas.collect(now, s, tokens);
+            known.quotas.credit(now, s, tokens);
         }
     }
 }
--- a/crates/limehollow/src/quota.rs
+++ b/crates/limehollow/src/quota.rs
@@ -25,12 +25,12 @@
 //!     vm.set_vms(now, 2);
 //! }
 //! let later = now + Duration::from_secs(1);
-//! assert!(!mine.take(later, "bookkeeping", 600.0));
+//! assert!(!mine.acquire(later, "bookkeeping", 600.0));
 //! // Another VM hands over what it has earned.
 //! mine.begin_round(later);
 //! let more = theirs.hand_over(later, "bookkeeping", &"vm-1".into()).unwrap();
-//! mine.collect(later, "bookkeeping", more);
-//! assert!(mine.take(later, "bookkeeping", 600.0));
+//! mine.credit(later, "bookkeeping", more);
+//! assert!(mine.acquire(later, "bookkeeping", 600.0));
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
 
 /// How long tokens may be on their way, from one account to the next and until a request is sent: an answer to a
 /// collection that takes longer is thrown away, and what didn't run is given back only within it.
-pub const ON_THE_WAY: Duration = Duration::from_millis(250);
+pub const MAX_TRANSFER_TIME: Duration = Duration::from_millis(250);
 /// The time between two collections. Half a second of what VMs earn lies with them unused then if a collection is lost.
 pub const COLLECT_EVERY: Duration = Duration::from_millis(250);
 /// For how long VMs keep what they earn: three collections, so that two may be lost. While nobody collects, a VM of a
@@ -188,7 +188,7 @@
     ///
     /// What is used within a window was in an account at its beginning, on its way then, or was earned in it. Tokens on
     /// their way were in an account so short a time before. So the sum is at most what accounts hold, and what is earned in
-    /// the window and [`ON_THE_WAY`] twice (to the pool, and from it).
+    /// the window and [`MAX_TRANSFER_TIME`] twice (to the pool, and from it).
     #[must_use]
     pub fn terms(&self, limit: Limit) -> Terms {
         self.terms_storing(limit, STORED_SHARE)
@@ -197,7 +197,7 @@
     fn terms_storing(&self, limit: Limit, share: f64) -> Terms {
         let beyond = self.nominal(limit) * self.over + self.slack;
         let stored = limit.burst + beyond * share;
-        let earning = (self.window + ON_THE_WAY * 2).as_secs_f64() * (1.0 + UNEVEN);
+        let earning = (self.window + MAX_TRANSFER_TIME * 2).as_secs_f64() * (1.0 + UNEVEN);
         let rate = limit
             .rate
             .min((self.bound(limit) - stored) / earning)
@@ -393,7 +393,7 @@
     }
 
     /// Ends the limit of an endpoint.
-    pub fn free_endpoint(&mut self, id: &SmolStr) {
+    pub fn remove_endpoint_limit(&mut self, id: &SmolStr) {
         self.accounts.remove(&Subject::Endpoint(id.clone()));
     }
 
@@ -433,7 +433,7 @@
     }
 
     /// Takes tokens of a limit for a request. Gives whether there were enough, which is so where there is no limit.
-    pub fn take<S>(&mut self, now: Instant, subject: S, tokens: f64) -> bool
+    pub fn acquire<S>(&mut self, now: Instant, subject: S, tokens: f64) -> bool
     where
         S: Into<Subject>,
     {
@@ -457,7 +457,7 @@
         S: Into<Subject>,
     {
         let subject = subject.into();
-        if self.take(now, &subject, tokens) {
+        if self.acquire(now, &subject, tokens) {
             return Grant::Granted;
         }
         let Some(a) = self.accounts.get_mut(&subject) else {
@@ -471,7 +471,7 @@
     }
 
     /// Takes back what a request took that didn't run, into the account of what this VM earns and up to its bound.
-    pub fn give_back<S>(&mut self, now: Instant, subject: S, tokens: f64)
+    pub fn refund<S>(&mut self, now: Instant, subject: S, tokens: f64)
     where
         S: Into<Subject>,
     {
@@ -493,7 +493,7 @@
 
     /// Hands over what this VM has of a limit to the VM that keeps its pool; gives none to a second one that asks so
     /// soon.
-    pub fn hand_over<S>(&mut self, now: Instant, subject: S, keeper: &SmolStr) -> Option<f64>
+    pub fn transfer<S>(&mut self, now: Instant, subject: S, keeper: &SmolStr) -> Option<f64>
     where
         S: Into<Subject>,
     {
@@ -511,7 +511,7 @@
     }
 
     /// Takes in what a VM has handed over; what is too much for the pool is lost.
-    pub fn collect<S>(&mut self, now: Instant, subject: S, tokens: f64)
+    pub fn credit<S>(&mut self, now: Instant, subject: S, tokens: f64)
     where
         S: Into<Subject>,
     {
--- a/crates/limehollow/tests/quota.rs
+++ b/crates/limehollow/tests/quota.rs
@@ -1,6 +1,8 @@
 //! Limits of workspaces over many VMs: the sum holds whatever happens to VMs and messages, and callers get what they may.
 
-use limehollow::quota::{Allowance, COLLECT_EVERY, Grant, Limit, ON_THE_WAY, Quotas, Subject};
+use limehollow::quota::{
+    Allowance, COLLECT_EVERY, Grant, Limit, MAX_TRANSFER_TIME, Quotas, Subject,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use smol_str::{SmolStr, format_smolstr};
@@ -154,11 +156,11 @@
                 continue;
             }
             let name = format_smolstr!("vm-{keeper}");
-            let Some(tokens) = self.vms[vm].hand_over(self.now, self.whose.subject(), &name) else {
+            let Some(tokens) = self.vms[vm].transfer(self.now, self.whose.subject(), &name) else {
                 continue;
             };
             if vm == keeper {
-                self.vms[vm].collect(self.now, self.whose.subject(), tokens);
+                self.vms[vm].credit(self.now, self.whose.subject(), tokens);
             } else if !self.rng.random_bool(self.lost) {
                 self.send(Some(keeper), tokens);
             }
@@ -166,7 +168,7 @@
     }
 
     fn send(&mut self, to: Option<usize>, tokens: f64) {
-        let way = self.rng.random_range(Duration::ZERO..ON_THE_WAY);
+        let way = self.rng.random_range(Duration::ZERO..MAX_TRANSFER_TIME);
         let due = self.now + way;
         self.on_the_way.push(OnTheWay { due, to, tokens });
     }
@@ -176,7 +178,7 @@
         if !self.runs(vm) {
             return false;
         }
-        if self.vms[vm].take(self.now, self.whose.subject(), self.whose.request()) {
+        if self.vms[vm].acquire(self.now, self.whose.subject(), self.whose.request()) {
             self.send(None, self.whose.request());
             return true;
         }
@@ -203,7 +205,7 @@
             match w.to {
                 None => self.used.push_back((now, w.tokens)),
                 Some(vm) if self.runs(vm) => {
-                    self.vms[vm].collect(now, self.whose.subject(), w.tokens);
+                    self.vms[vm].credit(now, self.whose.subject(), w.tokens);
                 }
                 // Who stood still throws away what comes too late.
                 Some(_) => {}
@@ -327,7 +329,7 @@
                 burst: f64::from(*burst),
             };
             let t = a.terms(l);
-            let earned = t.rate * (a.window + ON_THE_WAY * 2).as_secs_f64() * 1.02;
+            let earned = t.rate * (a.window + MAX_TRANSFER_TIME * 2).as_secs_f64() * 1.02;
             assert!(t.rate >= 0.0 && t.own >= 0.0 && t.pool >= -1e-6, "{t:?}");
             assert!(
                 t.own + t.pool + earned <= a.bound(l) * (1.0 + 1e-9),
@@ -434,9 +436,9 @@
     let (one, other) = (SmolStr::new("vm-0"), SmolStr::new("vm-1"));
     let q = &mut site.vms[1];
     let at = |ms| site.now + Duration::from_millis(ms);
-    assert!(q.hand_over(at(500), WORKSPACE, &one).is_some());
-    assert!(q.hand_over(at(1400), WORKSPACE, &other).is_none());
-    assert!(q.hand_over(at(1500), WORKSPACE, &other).is_some());
+    assert!(q.transfer(at(500), WORKSPACE, &one).is_some());
+    assert!(q.transfer(at(1400), WORKSPACE, &other).is_none());
+    assert!(q.transfer(at(1500), WORKSPACE, &other).is_some());
 }
 
 #[test]
@@ -444,8 +446,8 @@
     let now = Instant::now();
     let mut q = Quotas::new(allowance());
     q.set_limits(now, [(WORKSPACE.into(), limit(210_000.0))]);
-    assert!(!q.take(now + Duration::from_secs(10), WORKSPACE, 1.0));
-    assert!(q.take(now, "another workspace, without a limit", 1e9));
+    assert!(!q.acquire(now + Duration::from_secs(10), WORKSPACE, 1.0));
+    assert!(q.acquire(now, "another workspace, without a limit", 1e9));
 }
 
 impl Site {
@@ -463,7 +465,7 @@
     fn held(&mut self) -> f64 {
         let mut sum = 0.0;
         for q in &mut self.vms {
-            while q.take(self.now, WORKSPACE, REQUEST) {
+            while q.acquire(self.now, WORKSPACE, REQUEST) {
                 sum += REQUEST;
             }
         }
