--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -360,9 +360,10 @@
         let freshness = known.readings.freshness(self.feed)?;
         let returned = known.returned.map(|r| r.at);
         // An absence of a moment may lie between two calls; only the era shows it then.
-        let sound_since =
-            returned.map_or(freshness.sound_since(), |t| t.max(freshness.sound_since()));
-        Some(sound_since + SETTLE)
+        let healthy_since = returned.map_or(freshness.healthy_since(), |t| {
+            t.max(freshness.healthy_since())
+        });
+        Some(healthy_since + SETTLE)
     }
 
     /// Gives until when entries are in doubt that were removed before the store's return.
--- a/crates/limehollow-node/src/reading.rs
+++ b/crates/limehollow-node/src/reading.rs
@@ -70,7 +70,7 @@
     pub fn told(&self, now: Instant) -> Reading {
         let ages = |feed| {
             let row = self.rows.get(&feed)?;
-            let own = Freshness::new(self.last_read(feed)?, row.freshness.sound_since());
+            let own = Freshness::new(self.last_read(feed)?, row.freshness.healthy_since());
             Some(Ages::at(now, own))
         };
         Reading {
@@ -113,7 +113,7 @@
     /// Takes in what another VM told; `has_all` says whether this copy holds all that the other has read.
     pub fn meet(&mut self, feed: Feed, other: Freshness, has_all: bool, longest_gap: Duration) {
         match self.rows.get_mut(&feed) {
-            Some(row) => row.freshness = row.freshness.meet(other, has_all, longest_gap),
+            Some(row) => row.freshness = row.freshness.merge(other, has_all, longest_gap),
             None if has_all => {
                 // A copy that came whole from another VM before this one could read the store.
                 let row = Row {
--- a/crates/limehollow-node/tests/reading.rs
+++ b/crates/limehollow-node/tests/reading.rs
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn read_after_failures_begins_anew() {
     let t = Instant::now();
-    for (others_read_at, sound_since) in [(0, 900), (600, 0)] {
+    for (others_read_at, healthy_since) in [(0, 900), (600, 0)] {
         let mut r = Readings::default();
         r.read(LIST, t, GAP);
         r.fail(LIST, at(t, 500));
@@ -56,7 +56,7 @@
         r.meet(LIST, Freshness::new(at(t, others_read_at), t), true, GAP);
         r.read(LIST, at(t, 900), GAP);
         let f = r.freshness(LIST).expect("it was read");
-        assert_eq!(f.sound_since(), at(t, sound_since), "{others_read_at}");
+        assert_eq!(f.healthy_since(), at(t, healthy_since), "{others_read_at}");
     }
 }
 
@@ -67,7 +67,7 @@
     r.read(LIST, t, GAP);
     r.read(LIST, at(t, 2500), GAP);
     let f = r.freshness(LIST).expect("it was read");
-    assert_eq!(f.sound_since(), at(t, 2500));
+    assert_eq!(f.healthy_since(), at(t, 2500));
 }
 
 #[tokio::test]
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -89,7 +89,7 @@
     pub fn at(now: Instant, f: Freshness) -> Self {
         Self {
             complete_ms: millis(f.age(now)).saturating_add(1),
-            sound_ms: millis(now.saturating_duration_since(f.sound_since())),
+            sound_ms: millis(now.saturating_duration_since(f.healthy_since())),
         }
     }
 
--- a/crates/limehollow/src/freshness.rs
+++ b/crates/limehollow/src/freshness.rs
@@ -15,7 +15,7 @@
 //! // Another VM, which has had answers for a second, read to the same position as this one.
 //! let theirs = Freshness::new(later, now - Duration::from_secs(1));
 //! let gap = Duration::from_secs(1);
-//! assert_eq!(mine.meet(theirs, true, gap).age(later), Duration::ZERO);
+//! assert_eq!(mine.merge(theirs, true, gap).age(later), Duration::ZERO);
 //! ```
 
 use std::time::Duration;
@@ -25,19 +25,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
     complete_at: Instant,
-    sound_since: Instant,
+    healthy_since: Instant,
     /// The end of that span: the copy may be older, where others have read further.
-    sound_until: Instant,
+    healthy_until: Instant,
 }
 
 impl Freshness {
     /// Makes the freshness of a copy that is complete up to a moment, with answers from the store since another one.
     #[must_use]
-    pub fn new(complete_at: Instant, sound_since: Instant) -> Self {
+    pub fn new(complete_at: Instant, healthy_since: Instant) -> Self {
         Self {
             complete_at,
-            sound_since,
-            sound_until: complete_at,
+            healthy_since,
+            healthy_until: complete_at,
         }
     }
 
@@ -61,8 +61,8 @@
 
     /// Gives since when the store has answered somebody without a break.
     #[must_use]
-    pub fn sound_since(&self) -> Instant {
-        self.sound_since
+    pub fn healthy_since(&self) -> Instant {
+        self.healthy_since
     }
 
     /// Gives the freshness after a read of one's own that began at this moment. Where there was a break before, the
@@ -71,8 +71,12 @@
     pub fn read(self, began: Instant, was_broken: bool) -> Self {
         Self {
             complete_at: self.complete_at.max(began),
-            sound_since: if was_broken { began } else { self.sound_since },
-            sound_until: self.sound_until.max(began),
+            healthy_since: if was_broken {
+                began
+            } else {
+                self.healthy_since
+            },
+            healthy_until: self.healthy_until.max(began),
         }
     }
 
@@ -83,13 +87,13 @@
     /// `longest_gap`. That the other's begins a little later is no sign of an outage: a VM that has just started knows of
     /// no earlier answer. Taken for one, restarts of half of 63 VMs held removals back for up to 6.6 s in a played day.
     #[must_use]
-    pub fn meet(self, other: Self, has_all: bool, longest_gap: Duration) -> Self {
-        let is_later = other.sound_since > self.sound_until + longest_gap;
-        let is_earlier = self.sound_since > other.sound_until + longest_gap;
-        let sound_since = if is_later || is_earlier {
-            self.sound_since.max(other.sound_since)
+    pub fn merge(self, other: Self, has_all: bool, longest_gap: Duration) -> Self {
+        let is_later = other.healthy_since > self.healthy_until + longest_gap;
+        let is_earlier = self.healthy_since > other.healthy_until + longest_gap;
+        let healthy_since = if is_later || is_earlier {
+            self.healthy_since.max(other.healthy_since)
         } else {
-            self.sound_since.min(other.sound_since)
+            self.healthy_since.min(other.healthy_since)
         };
         let complete_at = if has_all {
             self.complete_at.max(other.complete_at)
@@ -98,8 +102,8 @@
         };
         Self {
             complete_at,
-            sound_since,
-            sound_until: self.sound_until.max(other.sound_until),
+            healthy_since,
+            healthy_until: self.healthy_until.max(other.healthy_until),
         }
     }
 }
--- a/crates/limehollow/tests/freshness.rs
+++ b/crates/limehollow/tests/freshness.rs
@@ -16,14 +16,14 @@
     let t = Instant::now();
     let f = Freshness::first(t).read(at(t, 500), false);
     assert_eq!(f.age(at(t, 700)), Duration::from_millis(200));
-    assert_eq!(f.sound_since(), t);
+    assert_eq!(f.healthy_since(), t);
 }
 
 #[tokio::test]
 async fn read_after_a_break_begins_a_new_span() {
     let t = Instant::now();
     let f = Freshness::first(t).read(at(t, 500), true);
-    assert_eq!(f.sound_since(), at(t, 500));
+    assert_eq!(f.healthy_since(), at(t, 500));
 }
 
 #[tokio::test]
@@ -31,8 +31,8 @@
     let t = Instant::now();
     let other = Freshness::new(at(t, 900), t);
     let mine = Freshness::first(t);
-    assert_eq!(mine.meet(other, false, GAP).complete_at(), t);
-    assert_eq!(mine.meet(other, true, GAP).complete_at(), at(t, 900));
+    assert_eq!(mine.merge(other, false, GAP).complete_at(), t);
+    assert_eq!(mine.merge(other, true, GAP).complete_at(), at(t, 900));
 }
 
 #[tokio::test]
@@ -41,7 +41,7 @@
     let t = Instant::now();
     let mine = Freshness::first(t).read(at(t, 800), true);
     let other = Freshness::new(at(t, 900), t);
-    assert_eq!(mine.meet(other, true, GAP).sound_since(), t);
+    assert_eq!(mine.merge(other, true, GAP).healthy_since(), t);
 }
 
 #[tokio::test]
@@ -51,16 +51,16 @@
     let mine = Freshness::first(t);
     let other = Freshness::first(at(t, 2000));
     for has_all in [false, true] {
-        assert_eq!(mine.meet(other, has_all, GAP).sound_since(), at(t, 2000));
+        assert_eq!(mine.merge(other, has_all, GAP).healthy_since(), at(t, 2000));
     }
     // Told again and by others that came back later, it stays with the first.
-    let f = mine.meet(other, false, GAP).meet(other, false, GAP);
+    let f = mine.merge(other, false, GAP).merge(other, false, GAP);
     let late = Freshness::first(at(t, 2600));
     let again = Freshness::new(at(t, 2700), at(t, 2000));
     assert_eq!(
-        f.meet(late, false, GAP)
-            .meet(again, true, GAP)
-            .sound_since(),
+        f.merge(late, false, GAP)
+            .merge(again, true, GAP)
+            .healthy_since(),
         at(t, 2000)
     );
 }
@@ -71,10 +71,10 @@
     let mine = Freshness::first(t).read(at(t, 5000), false);
     let other = Freshness::first(at(t, 5800));
     for has_all in [false, true] {
-        assert_eq!(mine.meet(other, has_all, GAP).sound_since(), t);
+        assert_eq!(mine.merge(other, has_all, GAP).healthy_since(), t);
     }
     // Nor is it one for a VM that it tells first.
-    assert_eq!(other.meet(mine, true, GAP).sound_since(), t);
+    assert_eq!(other.merge(mine, true, GAP).healthy_since(), t);
 }
 
 #[tokio::test]
@@ -82,7 +82,7 @@
     let t = Instant::now();
     let mine = Freshness::new(at(t, 5000), at(t, 3000));
     let other = Freshness::new(at(t, 1000), t);
-    assert_eq!(mine.meet(other, true, GAP), mine);
+    assert_eq!(mine.merge(other, true, GAP), mine);
 }
 
 #[tokio::test]
