--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -49,7 +49,7 @@
         address: e.address,
         room: Room::Exempt,
     };
-    match known.crash_watch.note_cut_off(now, &to.instance, c) {
+    match known.crash_watch.record_cut_off(now, &to.instance, c) {
         Suspicion::New if was_replaced => {
             known.note_crashed(now, &to.instance);
         }
@@ -86,7 +86,7 @@
             Finding::Unclear => {}
         }
     }
-    site.known().crash_watch.note_asked(&to.instance);
+    site.known().crash_watch.end_probe(&to.instance);
     site.crash_known.notify_waiters();
 }
 
@@ -106,7 +106,7 @@
     let told = async {
         loop {
             let known = site.crash_known.notified();
-            if !site.known().crash_watch.is_asked_for(instance) {
+            if !site.known().crash_watch.is_probing(instance) {
                 return;
             }
             known.await;
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -447,7 +447,7 @@
 
     /// Takes in that a start of an endpoint has crashed: what it ran is suspect. Gives whether it ran anything.
     pub(crate) fn note_crashed(&mut self, now: Instant, start: &Instance) -> bool {
-        let cut_off = self.crash_watch.note_crashed(start);
+        let cut_off = self.crash_watch.record_crash(start);
         for c in &cut_off {
             self.note_suspect(now, start, *c);
         }
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -377,7 +377,7 @@
         };
         site.known()
             .crash_watch
-            .note_cut_off(Instant::now(), &start, c);
+            .record_cut_off(Instant::now(), &start, c);
         site.note_crashed(&start);
     }
 
--- a/crates/limehollow/src/crash_watch.rs
+++ b/crates/limehollow/src/crash_watch.rs
@@ -40,7 +40,7 @@
 struct Watched {
     since: Instant,
     /// Whether its address is being asked.
-    is_asked_for: bool,
+    is_probing: bool,
     has_crashed: bool,
     cut_off: Vec<CutOff>,
 }
@@ -53,7 +53,7 @@
 
 impl CrashWatch {
     /// Notes that a connection to a start of an endpoint ended under a request.
-    pub fn note_cut_off(&mut self, now: Instant, start: &Instance, c: CutOff) -> Suspicion {
+    pub fn record_cut_off(&mut self, now: Instant, start: &Instance, c: CutOff) -> Suspicion {
         if let Some(row) = self.rows.get_mut(start) {
             if row.has_crashed {
                 return Suspicion::Crashed;
@@ -63,7 +63,7 @@
         }
         let row = Watched {
             since: now,
-            is_asked_for: true,
+            is_probing: true,
             has_crashed: false,
             cut_off: vec![c],
         };
@@ -72,7 +72,7 @@
     }
 
     /// Notes that a start has ended. Gives the requests that were cut off by it.
-    pub fn note_crashed(&mut self, start: &Instance) -> Vec<CutOff> {
+    pub fn record_crash(&mut self, start: &Instance) -> Vec<CutOff> {
         let Some(row) = self.rows.get_mut(start) else {
             return Vec::new();
         };
@@ -81,17 +81,17 @@
     }
 
     /// Notes that nothing more is to be had from a start's address: unless the list says so, it hasn't crashed.
-    pub fn note_asked(&mut self, start: &Instance) {
+    pub fn end_probe(&mut self, start: &Instance) {
         if let Some(row) = self.rows.get_mut(start) {
-            row.is_asked_for = false;
+            row.is_probing = false;
         }
     }
 
     /// Tells whether a start's address is being asked.
     #[must_use]
-    pub fn is_asked_for(&self, start: &Instance) -> bool {
+    pub fn is_probing(&self, start: &Instance) -> bool {
         let row = self.rows.get(start);
-        row.is_some_and(|r| r.is_asked_for && !r.has_crashed)
+        row.is_some_and(|r| r.is_probing && !r.has_crashed)
     }
 
     /// Forgets what was too long ago.
