--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -371,7 +371,7 @@
                 self.site.note_gone(&to.instance);
                 tracing::info!(id = %self.ask.id, "another instance has the endpoint's address");
             }
-            (Shows::NotHeld, Some(m)) => self.site.known().roster.unhold(to.key, m),
+            (Shows::NotHeld, Some(m)) => self.site.known().roster.remove_holding(to.key, m),
             (Shows::NobodyListens, _) => self.site.note_crashed(&to.instance),
             (Shows::NotHeld | Shows::ConnectionEnded | Shows::KeyGone | Shows::Nothing, _) => {}
         }
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -243,7 +243,7 @@
             known.quotas.set_allowance(now, settings.quota_allowance());
             known.quotas.set_cold_allowance(settings.cold_allowance());
             note_ages(now, known, &site.metrics);
-            if known.roster.settle(now) {
+            if known.roster.apply_held_back(now) {
                 site.changed.notify_waiters();
             }
             known
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -284,7 +284,7 @@
     pub fn list(&mut self, now: Instant, e: Endpoint) -> Update {
         let former = self.start_of(&e.instance.id);
         let (id, cold) = (e.instance.id.clone(), millis(e.cold_ms));
-        let update = self.roster.list(now, e);
+        let update = self.roster.apply_entry(now, e);
         self.forget(now, update.replaced, former);
         if let Some(key) = self.roster.key(&id) {
             self.note_cold(now, key, cold);
@@ -295,7 +295,7 @@
     /// Takes in what the controller knows of an endpoint.
     pub(crate) fn report(&mut self, now: Instant, r: &HoldingsReport) -> Update {
         let former = self.start_of(&r.instance.id);
-        let update = self.roster.report(now, r);
+        let update = self.roster.apply_report(now, r);
         self.forget(now, update.replaced, former);
         if update.is_restart() {
             self.note_start(now, &r.instance.id);
@@ -397,7 +397,7 @@
         };
         let is_news = self.roster.get(key).is_some_and(|e| !e.leaving);
         if is_news {
-            self.roster.leave(key);
+            self.roster.mark_leaving(key);
             self.gone.insert(instance.clone(), now);
             self.note_crashed(now, instance);
         }
--- a/crates/limehollow-node/tests/crashing_requests.rs
+++ b/crates/limehollow-node/tests/crashing_requests.rs
@@ -175,7 +175,7 @@
             let mut known = s.known();
             let all: Vec<_> = known.roster.iter().map(|(k, _)| k).collect();
             for key in all {
-                known.roster.leave(key);
+                known.roster.mark_leaving(key);
             }
         });
         site.ask(0, CALLER, &format!("c-{n}"), CRASHING).await;
--- a/crates/limehollow-node/tests/evacuation.rs
+++ b/crates/limehollow-node/tests/evacuation.rs
@@ -53,7 +53,7 @@
             zone: (*zone).into(),
             ..endpoint(i, server.address)
         };
-        site.known().roster.list(Instant::now(), listed);
+        site.known().roster.apply_entry(Instant::now(), listed);
         servers.push(server);
     }
     (Gateway::with(site).await, servers)
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -213,7 +213,7 @@
     let key = {
         let mut known = g.site.known();
         let key = known.roster.key("i-0").expect("it is listed");
-        known.roster.leave(key);
+        known.roster.mark_leaving(key);
         key
     };
     let to = Target {
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -333,7 +333,7 @@
         for (i, address) in servers.iter().enumerate() {
             site.known()
                 .roster
-                .list(tokio::time::Instant::now(), endpoint(i, *address));
+                .apply_entry(tokio::time::Instant::now(), endpoint(i, *address));
         }
         Self::with(site).await
     }
--- a/crates/limehollow-node/tests/workspaces.rs
+++ b/crates/limehollow-node/tests/workspaces.rs
@@ -56,7 +56,7 @@
         known.note_vms(Instant::now(), 0);
         known
             .roster
-            .list(Instant::now(), endpoint(0, server.address));
+            .apply_entry(Instant::now(), endpoint(0, server.address));
     }
     (Gateway::with(site).await, server)
 }
--- a/crates/limehollow/src/roster.rs
+++ b/crates/limehollow/src/roster.rs
@@ -240,7 +240,7 @@
     /// Takes in an entry of the platform's list.
     ///
     /// An entry of an earlier start than the one that is known changes nothing: it was written before, and read late.
-    pub fn list(&mut self, now: Instant, mut entry: Endpoint) -> Update {
+    pub fn apply_entry(&mut self, now: Instant, mut entry: Endpoint) -> Update {
         let lists_born = entry.instance.born.is_some();
         let Some(key) = self.key(&entry.instance.id) else {
             return self.insert(entry, lists_born);
@@ -282,7 +282,7 @@
     ///
     /// A report of a later start than the list shows is the first word of it: the endpoint is used from then on as the
     /// report says, with nothing at hand, since what the list says of copies was true of the former start.
-    pub fn report(&mut self, now: Instant, r: &HoldingsReport) -> Update {
+    pub fn apply_report(&mut self, now: Instant, r: &HoldingsReport) -> Update {
         let Some(key) = self.key(&r.instance.id) else {
             return Update::default();
         };
@@ -352,7 +352,7 @@
     ///
     /// The list doesn't repeat an entry that hasn't changed: without this a report that came to nothing, such as
     /// that of an unload whose order was lost, would stand for good.
-    pub fn settle(&mut self, now: Instant) -> bool {
+    pub fn apply_held_back(&mut self, now: Instant) -> bool {
         let mut news = false;
         for row in self.rows.values_mut() {
             if row.is_report_preferred(now) {
@@ -382,7 +382,7 @@
     }
 
     /// Takes an endpoint out of use that is known to be gone, or to leave.
-    pub fn leave(&mut self, key: EndpointKey) {
+    pub fn mark_leaving(&mut self, key: EndpointKey) {
         if let Some(row) = self.rows.get_mut(key) {
             row.endpoint.leaving = true;
         }
@@ -399,7 +399,7 @@
             return false;
         };
         let is_news = !self.rows[key].endpoint.leaving;
-        self.leave(key);
+        self.mark_leaving(key);
         is_news
     }
 
@@ -409,7 +409,7 @@
 
     /// Notes that an endpoint said itself that it doesn't hold something, until it is listed or reported
     /// anew.
-    pub fn unhold(&mut self, key: EndpointKey, missing: &ModelRef) {
+    pub fn remove_holding(&mut self, key: EndpointKey, missing: &ModelRef) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
--- a/crates/limehollow/tests/balance.rs
+++ b/crates/limehollow/tests/balance.rs
@@ -69,7 +69,7 @@
         choose(&b, &r, &Job::plain("other".into(), 0)),
         Choice::NoEndpoint
     );
-    r.leave(keys[1]);
+    r.mark_leaving(keys[1]);
     assert_eq!(
         choose(&b, &r, &job(model("big-1"), 100, 0)),
         Choice::NoModel
@@ -231,7 +231,7 @@
     );
     r.remove("i-0");
     b.forget(keys[0]);
-    r.list(Instant::now(), site::endpoint(0, "a", holding(&["big-0"])));
+    r.apply_entry(Instant::now(), site::endpoint(0, "a", holding(&["big-0"])));
     // Its request ends after another endpoint has its place in the arena.
     b.finish(Instant::now(), sent, Ending::Cancelled);
     assert_eq!(b.own().count(), 0);
--- a/crates/limehollow/tests/isolation.rs
+++ b/crates/limehollow/tests/isolation.rs
@@ -104,7 +104,7 @@
             "b"
         };
         let e = endpoint(self.starts, zone, holding(&["m"]));
-        self.roster.list(self.now, e);
+        self.roster.apply_entry(self.now, e);
     }
 
     fn ask(&mut self, request: Fingerprint, is_cause: bool) {
--- a/crates/limehollow/tests/placing.rs
+++ b/crates/limehollow/tests/placing.rs
@@ -85,7 +85,7 @@
 
     fn list(&mut self) {
         for e in &self.endpoints {
-            self.roster.list(Instant::now(), e.clone());
+            self.roster.apply_entry(Instant::now(), e.clone());
         }
     }
 
--- a/crates/limehollow/tests/rebalance.rs
+++ b/crates/limehollow/tests/rebalance.rs
@@ -166,7 +166,7 @@
     let (mut roster, keys) = roster(&[&["big-0"]]);
     let mut full = holding(&["big-0"]);
     full.get_mut("big-0").expect("there").adapters = ["a1".into(), "a2".into()].into();
-    roster.list(Instant::now(), site::endpoint(0, "a", full));
+    roster.apply_entry(Instant::now(), site::endpoint(0, "a", full));
     let asked = BTreeMap::from([
         (adapter("big-0", "a1"), 30.0),
         (adapter("big-0", "a2"), 40.0),
@@ -232,7 +232,7 @@
     r.adapter_ended(Instant::now(), keys[0], true);
     let mut full = holding(&["big-0"]);
     full.get_mut("big-0").expect("there").adapters = ["a1".into(), "a2".into()].into();
-    roster.list(Instant::now(), site::endpoint(0, "a", full));
+    roster.apply_entry(Instant::now(), site::endpoint(0, "a", full));
     let asked = BTreeMap::from([(adapter("big-0", "a3"), 500.0)]);
     advance(Duration::from_millis(500)).await;
     r.observe(Instant::now(), &asked);
@@ -305,7 +305,7 @@
     let (mut roster, keys) = roster(&[&["big-0"], &["big-1"], &["big-2"]]);
     let mut with_copy = roster.get(keys[2]).expect("it is listed").clone();
     with_copy.copies.insert("big-0".into());
-    roster.list(Instant::now(), with_copy);
+    roster.apply_entry(Instant::now(), with_copy);
     let mut r = Rebalancer::default();
     let asked = demand(&[("big-0", 2000.0), ("big-1", 10.0), ("big-2", 250.0)]);
     r.observe(Instant::now(), &asked);
--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -38,7 +38,7 @@
 
 fn listed(born: Option<u64>, models: &[&str]) -> Roster {
     let mut r = Roster::default();
-    r.list(Instant::now(), entry(born, models));
+    r.apply_entry(Instant::now(), entry(born, models));
     r
 }
 
@@ -51,8 +51,8 @@
 fn list_of_a_later_start_takes_work_again() {
     let mut r = listed(FIRST, &["big-0"]);
     let first = r.key("i-0").expect("it is there");
-    r.leave(first);
-    let update = r.list(Instant::now(), entry(SECOND, &[]));
+    r.mark_leaving(first);
+    let update = r.apply_entry(Instant::now(), entry(SECOND, &[]));
     assert!(update.is_restart());
     assert_eq!(update.replaced, Some(first));
     assert!(
@@ -68,7 +68,7 @@
     let mut r = listed(SECOND, &["big-1"]);
     let mut late = entry(FIRST, &["big-0"]);
     late.leaving = true;
-    assert_eq!(r.list(Instant::now(), late).replaced, None);
+    assert_eq!(r.apply_entry(Instant::now(), late).replaced, None);
     assert_eq!(held(&r), ["big-1"]);
     assert_eq!(r.open(&llm()).count(), 1);
 }
@@ -77,7 +77,10 @@
 fn list_of_the_same_start_keeps_the_key() {
     let mut r = listed(FIRST, &["big-0"]);
     let key = r.key("i-0");
-    assert!(!r.list(Instant::now(), entry(FIRST, &["big-1"])).is_news);
+    assert!(
+        !r.apply_entry(Instant::now(), entry(FIRST, &["big-1"]))
+            .is_news
+    );
     assert_eq!(r.key("i-0"), key);
 }
 
@@ -86,36 +89,39 @@
     // Connections and measurements belong to what was at the former address, whatever the entry says of its start.
     let mut r = listed(None, &[]);
     let key = r.key("i-0");
-    r.leave(key.expect("it is there"));
+    r.mark_leaving(key.expect("it is there"));
     let mut moved = entry(None, &[]);
     moved.address = ([127, 0, 0, 1], 9001).into();
-    assert_eq!(r.list(Instant::now(), moved).replaced, key);
+    assert_eq!(r.apply_entry(Instant::now(), moved).replaced, key);
     assert_eq!(r.open(&llm()).count(), 0, "it is leaving all the same");
 }
 
 #[test]
 fn list_without_its_start_where_it_said_it_before() {
     let mut r = listed(FIRST, &["big-0"]);
-    r.list(Instant::now(), entry(None, &["big-0"]));
+    r.apply_entry(Instant::now(), entry(None, &["big-0"]));
     assert_eq!(r.len(), 0, "another writer's entry names no endpoint");
-    assert!(r.list(Instant::now(), entry(FIRST, &["big-0"])).is_news);
+    assert!(
+        r.apply_entry(Instant::now(), entry(FIRST, &["big-0"]))
+            .is_news
+    );
 }
 
 #[test]
 fn list_without_its_start_where_only_a_report_said_it() {
     let mut r = listed(None, &["big-0"]);
-    r.report(Instant::now(), &told(FIRST, 1, &["big-1"]));
-    r.list(Instant::now(), entry(None, &["big-0"]));
+    r.apply_report(Instant::now(), &told(FIRST, 1, &["big-1"]));
+    r.apply_entry(Instant::now(), entry(None, &["big-0"]));
     assert_eq!(r.len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn list_of_a_later_start_goes_before_reports_of_the_former() {
     let mut r = listed(FIRST, &["big-0"]);
-    r.report(Instant::now(), &told(FIRST, 9, &["big-0", "big-1"]));
-    r.list(Instant::now(), entry(SECOND, &[]));
+    r.apply_report(Instant::now(), &told(FIRST, 9, &["big-0", "big-1"]));
+    r.apply_entry(Instant::now(), entry(SECOND, &[]));
     assert_eq!(held(&r), Vec::<String>::new(), "it holds nothing now");
-    let late = r.report(Instant::now(), &told(FIRST, 10, &["big-0"]));
+    let late = r.apply_report(Instant::now(), &told(FIRST, 10, &["big-0"]));
     assert!(!late.is_news);
     assert_eq!(held(&r), Vec::<String>::new());
 }
@@ -123,14 +129,14 @@
 #[test]
 fn report_of_a_later_start_counts_anew() {
     let mut r = listed(FIRST, &["big-0"]);
-    r.report(Instant::now(), &told(FIRST, 9, &["big-0"]));
+    r.apply_report(Instant::now(), &told(FIRST, 9, &["big-0"]));
     assert!(
-        r.report(Instant::now(), &told(SECOND, 1, &["big-2"]))
+        r.apply_report(Instant::now(), &told(SECOND, 1, &["big-2"]))
             .is_restart()
     );
     assert_eq!(held(&r), ["big-2"]);
     assert!(
-        r.report(Instant::now(), &told(SECOND, 2, &["big-1"]))
+        r.apply_report(Instant::now(), &told(SECOND, 2, &["big-1"]))
             .is_news
     );
     assert_eq!(held(&r), ["big-1"]);
@@ -141,8 +147,8 @@
     // The store is away: the entry of the former start stays, and says that it leaves.
     let mut r = listed(FIRST, &["big-0"]);
     let first = r.key("i-0").expect("it is there");
-    r.leave(first);
-    r.report(Instant::now(), &told(SECOND, 0, &[]));
+    r.mark_leaving(first);
+    r.apply_report(Instant::now(), &told(SECOND, 0, &[]));
     let service = llm();
     let (_, e) = r.open(&service).next().expect("the later start takes work");
     assert_eq!(e.instance, instance(SECOND));
@@ -157,10 +163,16 @@
 async fn report_with_a_lower_count_without_a_start() {
     // Nothing says that the endpoint started again but its count; messages are repeated for a while.
     let mut r = listed(None, &["big-0"]);
-    r.report(Instant::now(), &told(None, 9, &["big-0"]));
-    assert!(!r.report(Instant::now(), &told(None, 1, &["big-2"])).is_news);
+    r.apply_report(Instant::now(), &told(None, 9, &["big-0"]));
+    assert!(
+        !r.apply_report(Instant::now(), &told(None, 1, &["big-2"]))
+            .is_news
+    );
     advance(REPORT_PREFERRED).await;
-    assert!(r.report(Instant::now(), &told(None, 1, &["big-2"])).is_news);
+    assert!(
+        r.apply_report(Instant::now(), &told(None, 1, &["big-2"]))
+            .is_news
+    );
     assert_eq!(held(&r), ["big-2"]);
 }
 
@@ -172,10 +184,13 @@
     assert_eq!(r.open(&llm()).count(), 0);
     assert_eq!(r.unreadable().count(), 1);
     assert!(
-        !r.report(Instant::now(), &told(FIRST, 1, &["big-0"]))
+        !r.apply_report(Instant::now(), &told(FIRST, 1, &["big-0"]))
+            .is_news
+    );
+    assert!(
+        r.apply_entry(Instant::now(), entry(FIRST, &["big-0"]))
             .is_news
     );
-    assert!(r.list(Instant::now(), entry(FIRST, &["big-0"])).is_news);
     assert_eq!((r.open(&llm()).count(), r.unreadable().count()), (1, 0));
 }
 
--- a/crates/limehollow/tests/roster.rs
+++ b/crates/limehollow/tests/roster.rs
@@ -18,16 +18,19 @@
 async fn list_older_than_the_report() {
     // The list lags and counts no orders: an entry that comes soon after a report is outdated.
     let (mut r, keys) = roster(&[&["big-0"]]);
-    assert!(r.report(Instant::now(), &report(2, &["big-1"])).is_news);
+    assert!(
+        r.apply_report(Instant::now(), &report(2, &["big-1"]))
+            .is_news
+    );
     advance(REPORT_PREFERRED / 2).await;
-    r.list(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
+    r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-1"])
     );
     // Nor does it come to be believed later: it was written before the report.
     advance(REPORT_PREFERRED).await;
-    assert!(!r.settle(Instant::now()));
+    assert!(!r.apply_held_back(Instant::now()));
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-1"])
@@ -37,13 +40,13 @@
 #[tokio::test(start_paused = true)]
 async fn list_after_the_report() {
     let (mut r, keys) = roster(&[&["big-0"]]);
-    r.report(Instant::now(), &report(1, &[]));
+    r.apply_report(Instant::now(), &report(1, &[]));
     let entry = endpoint(0, "a", holding(&["big-0"]));
     // What is about to go is still listed: the report holds for a while.
-    r.list(Instant::now(), entry.clone());
+    r.apply_entry(Instant::now(), entry.clone());
     assert!(r.get(keys[0]).expect("listed").holdings.is_empty());
     advance(REPORT_PREFERRED).await;
-    r.list(Instant::now(), entry);
+    r.apply_entry(Instant::now(), entry);
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-0"])
@@ -54,24 +57,33 @@
 async fn list_that_was_held_back() {
     // An unload was told and its order lost. The list says late that the model is there, and only once.
     let (mut r, keys) = roster(&[&["big-0"]]);
-    r.report(Instant::now(), &report(1, &[]));
+    r.apply_report(Instant::now(), &report(1, &[]));
     advance(REPORT_PREFERRED.mul_f64(0.8)).await;
-    r.list(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
-    assert!(!r.settle(Instant::now()), "the report is preferred");
+    r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
+    assert!(
+        !r.apply_held_back(Instant::now()),
+        "the report is preferred"
+    );
     advance(REPORT_PREFERRED.mul_f64(0.3)).await;
-    assert!(r.settle(Instant::now()));
+    assert!(r.apply_held_back(Instant::now()));
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-0"])
     );
-    assert!(!r.settle(Instant::now()), "once");
+    assert!(!r.apply_held_back(Instant::now()), "once");
 }
 
 #[test]
 fn report_older_than_the_last_one() {
     let (mut r, keys) = roster(&[&["big-0"]]);
-    assert!(r.report(Instant::now(), &report(3, &["big-2"])).is_news);
-    assert!(!r.report(Instant::now(), &report(2, &["big-1"])).is_news);
+    assert!(
+        r.apply_report(Instant::now(), &report(3, &["big-2"]))
+            .is_news
+    );
+    assert!(
+        !r.apply_report(Instant::now(), &report(2, &["big-1"]))
+            .is_news
+    );
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-2"])
@@ -83,9 +95,12 @@
     // However often the endpoint was listed, its first order is news.
     let (mut r, keys) = roster(&[&["big-0"]]);
     for _ in 0..50 {
-        r.list(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
+        r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
     }
-    assert!(r.report(Instant::now(), &report(1, &["big-1"])).is_news);
+    assert!(
+        r.apply_report(Instant::now(), &report(1, &["big-1"]))
+            .is_news
+    );
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-1"])
@@ -95,8 +110,8 @@
 #[test]
 fn list_never_takes_leaving_back() {
     let (mut r, keys) = roster(&[&["big-0"]]);
-    r.leave(keys[0]);
-    r.list(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
+    r.mark_leaving(keys[0]);
+    r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
     assert!(r.get(keys[0]).expect("listed").leaving);
     assert_eq!(r.open(&site::llm()).count(), 0);
 }
@@ -106,7 +121,7 @@
     let (mut r, keys) = roster(&[&["big-0"]]);
     assert_eq!(r.remove("i-0"), Some(keys[0]));
     assert!(
-        r.list(Instant::now(), endpoint(0, "a", holding(&[])))
+        r.apply_entry(Instant::now(), endpoint(0, "a", holding(&[])))
             .is_news
     );
     assert_ne!(r.key("i-0"), Some(keys[0]));
@@ -116,12 +131,12 @@
 #[test]
 fn unhold_until_listed_anew() {
     let (mut r, keys) = roster(&[&["big-0", "big-1"]]);
-    r.unhold(keys[0], &model("big-1"));
+    r.remove_holding(keys[0], &model("big-1"));
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-0"])
     );
-    r.list(
+    r.apply_entry(
         Instant::now(),
         endpoint(0, "a", holding(&["big-0", "big-1"])),
     );
--- a/crates/limehollow/tests/site/mod.rs
+++ b/crates/limehollow/tests/site/mod.rs
@@ -81,7 +81,7 @@
     let mut r = Roster::default();
     for (i, m) in models.iter().enumerate() {
         let zone = if i % 2 == 0 { "a" } else { "b" };
-        r.list(Instant::now(), endpoint(i, zone, holding(m)));
+        r.apply_entry(Instant::now(), endpoint(i, zone, holding(m)));
     }
     let keys = (0..models.len()).map(|i| r.key(&format!("i-{i}")).expect("it is listed"));
     let keys = keys.collect();
