--- a/crates/limehollow/src/instance.rs
+++ b/crates/limehollow/src/instance.rs
@@ -52,7 +52,7 @@
             id: self.instance.id.clone(),
             born,
         };
-        if reporting.against(&self.instance) != Start::Same || orders_taken < self.counted {
+        if reporting.compare(&self.instance) != Start::Same || orders_taken < self.counted {
             return false;
         }
         self.instance.born = self.instance.born.or(born);
@@ -75,7 +75,7 @@
 impl Instance {
     /// Compares this start with another one of the same id.
     #[must_use]
-    pub fn against(&self, other: &Self) -> Start {
+    pub fn compare(&self, other: &Self) -> Start {
         match (self.born, other.born) {
             (Some(mine), Some(theirs)) if mine > theirs => Start::Later,
             (Some(mine), Some(theirs)) if mine < theirs => Start::Earlier,
@@ -86,7 +86,7 @@
     /// Tells whether both name the same start, as far as they say.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
-        self.id == other.id && self.against(other) == Start::Same
+        self.id == other.id && self.compare(other) == Start::Same
     }
 }
 
--- a/crates/limehollow/src/late_loads.rs
+++ b/crates/limehollow/src/late_loads.rs
@@ -62,7 +62,7 @@
                 now.duration_since(l.ordered) < LATE_FOR && l.expected >= book.orders_taken;
             // Counts rise within a start, so one below the order's shows a later start too.
             let is_other_start =
-                reporting.against(&l.to) == Start::Later || book.orders_taken < l.expected;
+                reporting.compare(&l.to) == Start::Later || book.orders_taken < l.expected;
             if !is_due
                 || !is_other_start
                 || l.subject == *loading
--- a/crates/limehollow/src/roster.rs
+++ b/crates/limehollow/src/roster.rs
@@ -247,7 +247,7 @@
         };
         let row = &mut self.rows[key];
         let known = &row.endpoint;
-        match entry.instance.against(&known.instance) {
+        match entry.instance.compare(&known.instance) {
             Start::Earlier => return Update::default(),
             Start::Later => return self.replace(key, entry, lists_born),
             Start::Same => {}
@@ -287,7 +287,7 @@
             return Update::default();
         };
         let row = &mut self.rows[key];
-        match r.instance.against(&row.endpoint.instance) {
+        match r.instance.compare(&row.endpoint.instance) {
             Start::Earlier => return Update::default(),
             Start::Later => {
                 let started = Endpoint {
