--- a/crates/limehollow/src/log_position.rs
+++ b/crates/limehollow/src/log_position.rs
@@ -32,7 +32,7 @@
 /// A text that is no position.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} is no position: ERA.OFFSET is expected"))]
-pub struct BadPosition {
+pub struct ParsePositionError {
     text: String,
 }
 
@@ -92,13 +92,13 @@
 }
 
 impl FromStr for LogPosition {
-    type Err = BadPosition;
+    type Err = ParsePositionError;
 
-    fn from_str(text: &str) -> Result<Self, BadPosition> {
+    fn from_str(text: &str) -> Result<Self, ParsePositionError> {
         let parsed = text.split_once('.').and_then(|(era, offset)| {
             let (era, offset) = (era.parse().ok()?, offset.parse().ok()?);
             Some(Self::new(era, offset))
         });
-        parsed.context(BadPositionSnafu { text })
+        parsed.context(ParsePositionSnafu { text })
     }
 }
--- a/crates/limehollow/src/workspace.rs
+++ b/crates/limehollow/src/workspace.rs
@@ -121,7 +121,7 @@
 
 /// Why workspaces can't be put in force.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum BadWorkspaces {
+pub enum WorkspacesError {
     /// A workspace has no name.
     #[snafu(display("a workspace has no name"))]
     Nameless,
@@ -155,8 +155,8 @@
     ///
     /// # Errors
     ///
-    /// [`BadWorkspaces`] if a name is missing, or a name or a key is there twice.
-    pub fn new(all: Vec<Workspace>) -> Result<Self, BadWorkspaces> {
+    /// [`WorkspacesError`] if a name is missing, or a name or a key is there twice.
+    pub fn new(all: Vec<Workspace>) -> Result<Self, WorkspacesError> {
         let mut names = BTreeSet::new();
         let mut by_prefix: HashMap<[u8; PREFIX], Vec<usize>> = HashMap::new();
         for (i, w) in all.iter().enumerate() {
@@ -209,9 +209,9 @@
 }
 
 impl TryFrom<Vec<Workspace>> for Workspaces {
-    type Error = BadWorkspaces;
+    type Error = WorkspacesError;
 
-    fn try_from(all: Vec<Workspace>) -> Result<Self, BadWorkspaces> {
+    fn try_from(all: Vec<Workspace>) -> Result<Self, WorkspacesError> {
         Self::new(all)
     }
 }
--- a/crates/limehollow/tests/workspace.rs
+++ b/crates/limehollow/tests/workspace.rs
@@ -1,6 +1,6 @@
 //! Workspaces and their keys.
 
-use limehollow::workspace::{BadWorkspaces, Cost, KeyDigest, Workspace, Workspaces};
+use limehollow::workspace::{Cost, KeyDigest, Workspace, Workspaces, WorkspacesError};
 
 fn workspace(name: &str, keys: &[&str]) -> Workspace {
     Workspace {
@@ -28,15 +28,15 @@
 fn new_with_a_key_of_two_workspaces() {
     let all = vec![workspace("a", &["k1"]), workspace("b", &["k1"])];
     let bad = Workspaces::new(all).expect_err("a key names one workspace");
-    assert!(matches!(bad, BadWorkspaces::KeyTwice { .. }), "{bad}");
+    assert!(matches!(bad, WorkspacesError::KeyTwice { .. }), "{bad}");
 }
 
 #[test]
 fn new_with_a_name_twice_or_none() {
     let twice = Workspaces::new(vec![workspace("a", &[]), workspace("a", &[])]);
-    assert!(matches!(twice, Err(BadWorkspaces::NameTwice { .. })));
+    assert!(matches!(twice, Err(WorkspacesError::NameTwice { .. })));
     let nameless = Workspaces::new(vec![workspace("", &[])]);
-    assert_eq!(nameless, Err(BadWorkspaces::Nameless));
+    assert_eq!(nameless, Err(WorkspacesError::Nameless));
 }
 
 #[test]
