--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -260,7 +260,7 @@
 
     /// Looks at the endpoints that this controller watches, unless the driver does so anyway.
     fn watch_loads(&mut self, now: Instant) {
-        if self.lease.is_mine(self.replay.fleet()) {
+        if self.lease.holds_lease(self.replay.fleet()) {
             return;
         }
         let own = |l: &&Listed| l.zone == self.zone && l.kind != ListedKind::Entry;
@@ -286,7 +286,7 @@
                 .heartbeat(l.holder.as_str())
                 .is_some_and(|h| h.incarnation == l.incarnation)
         {
-            self.lease.heard_holder(now, fleet);
+            self.lease.record_holder_alive(now, fleet);
         }
         let rank = self.gossip.members.rank(now);
         let take = self.lease.poll(now, fleet, rank);
@@ -317,7 +317,7 @@
     /// Gives a snapshot if one is due. The holders of later zones wait longer, so that one appends.
     fn snapshot(&mut self) -> Option<String> {
         let fleet = self.replay.fleet();
-        if !self.lease.is_mine(fleet)
+        if !self.lease.holds_lease(fleet)
             || !self.replay.snapshot_is_due(self.settings.log_retention_ms)
         {
             return None;
@@ -355,7 +355,7 @@
     /// Shows in metrics, readiness and logs how things stand.
     fn show(&mut self) {
         let fleet = self.replay.fleet();
-        let holds = self.lease.is_mine(fleet);
+        let holds = self.lease.holds_lease(fleet);
         if holds != self.was_holder {
             self.was_holder = holds;
             let epoch = fleet.epoch(&self.zone).unwrap_or_default();
@@ -398,7 +398,7 @@
 
     fn dump(&mut self, now: Instant) -> serde_json::Value {
         let fleet = self.replay.fleet();
-        let holder = self.lease.is_mine(fleet);
+        let holder = self.lease.holds_lease(fleet);
         let lease = fleet.lease(&self.zone);
         let because = match lease {
             Some(l) if holder => format!("the takeover at offset {} stands first", l.epoch),
--- a/crates/limehollow/src/lease.rs
+++ b/crates/limehollow/src/lease.rs
@@ -55,14 +55,14 @@
 
     /// Tells whether this very process holds the lease as far as the log was read.
     #[must_use]
-    pub fn is_mine(&self, fleet: &Fleet) -> bool {
+    pub fn holds_lease(&self, fleet: &Fleet) -> bool {
         fleet
             .lease(&self.zone)
             .is_some_and(|l| l.holder == self.me && l.incarnation == self.incarnation)
     }
 
     /// Notes that the holder is known to live.
-    pub fn heard_holder(&mut self, now: Instant, fleet: &Fleet) {
+    pub fn record_holder_alive(&mut self, now: Instant, fleet: &Fleet) {
         self.heard = Some((fleet.epoch(&self.zone), now));
     }
 
@@ -72,7 +72,7 @@
     pub fn poll(&mut self, now: Instant, fleet: &Fleet, rank: u32) -> Option<LeaseTaken> {
         let current = fleet.lease(&self.zone);
         let epoch = current.map(|l| l.epoch);
-        if self.is_mine(fleet) {
+        if self.holds_lease(fleet) {
             self.heard = Some((epoch, now));
             return None;
         }
--- a/crates/limehollow/tests/lease.rs
+++ b/crates/limehollow/tests/lease.rs
@@ -40,7 +40,7 @@
     let t = Instant::now();
     let mut w = watch("vm-2", 1);
     assert_eq!(w.poll(t, &s.fleet, 1), None);
-    w.heard_holder(t + secs(2.0), &s.fleet);
+    w.record_holder_alive(t + secs(2.0), &s.fleet);
     assert_eq!(
         w.poll(t + secs(5.0), &s.fleet, 1),
         None,
@@ -76,7 +76,7 @@
     let mut s = Story::default();
     s.ok(lease("vm-1", None));
     let mut w = watch("vm-1", 2);
-    assert!(!w.is_mine(&s.fleet));
+    assert!(!w.holds_lease(&s.fleet));
     assert!(w.poll(Instant::now(), &s.fleet, 0).is_some());
 }
 
@@ -93,6 +93,6 @@
     let b = two.poll(t + secs(3.0), &s.fleet, 0).expect("silent");
     s.ok(Record::LeaseTaken(b));
     s.void(Record::LeaseTaken(a));
-    assert!(two.is_mine(&s.fleet) && !one.is_mine(&s.fleet));
+    assert!(two.holds_lease(&s.fleet) && !one.holds_lease(&s.fleet));
     assert_eq!(s.fleet.epoch(&"a".into()), Some(Offset(1)));
 }
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -499,7 +499,7 @@
                 .heartbeat(l.holder.as_str())
                 .is_some_and(|h| h.incarnation == l.incarnation)
         {
-            c.lease.heard_holder(now, &fleet);
+            c.lease.record_holder_alive(now, &fleet);
         }
         let rank = c.members.rank(now);
         let mut records: Vec<Record> = c
