--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -90,9 +90,9 @@
     match d {
         Datagram::Question(_) | Datagram::Answer(_) => Urgency::Answer,
         Datagram::Message(m) => match (m.scope, m.forward) {
-            (Scope::Change | Scope::News, _) => Urgency::News,
-            (Scope::Vm, _) | (Scope::Zone, true) => Urgency::Regular,
-            (Scope::Zone, false) => Urgency::PassedOn,
+            (Scope::Change | Scope::News, _) => Urgency::Change,
+            (Scope::Vm, _) | (Scope::Zone, true) => Urgency::Periodic,
+            (Scope::Zone, false) => Urgency::Relayed,
         },
     }
 }
--- a/crates/limehollow/src/send_budget.rs
+++ b/crates/limehollow/src/send_budget.rs
@@ -10,8 +10,8 @@
 //!
 //! let now = Instant::now();
 //! let mut budget = SendBudget::new(now, 10_000.0);
-//! assert!(budget.take(now, 3_000, Urgency::Regular));
-//! assert!(!budget.take(now, 3_000, Urgency::Regular));
+//! assert!(budget.take(now, 3_000, Urgency::Periodic));
+//! assert!(!budget.take(now, 3_000, Urgency::Periodic));
 //! assert!(budget.take(now, 1_500, Urgency::Answer));
 //! ```
 
@@ -27,11 +27,11 @@
     /// A question, or the answer to one: a request waits for it.
     Answer,
     /// Something that has just changed.
-    News,
+    Change,
     /// What is said again and again.
-    Regular,
+    Periodic,
     /// What another VM said, for those that didn't hear it.
-    PassedOn,
+    Relayed,
 }
 
 impl Urgency {
@@ -39,9 +39,9 @@
     fn reserve(self) -> f64 {
         match self {
             Self::Answer => 0.0,
-            Self::News => 0.2,
-            Self::Regular => 0.4,
-            Self::PassedOn => 0.6,
+            Self::Change => 0.2,
+            Self::Periodic => 0.4,
+            Self::Relayed => 0.6,
         }
     }
 }
--- a/crates/limehollow/tests/send_budget.rs
+++ b/crates/limehollow/tests/send_budget.rs
@@ -27,9 +27,9 @@
 fn take_sum_stays_within_the_rate() {
     for copies in [1, 10, 100] {
         let all = [
-            (Urgency::PassedOn, copies),
-            (Urgency::Regular, copies),
-            (Urgency::News, copies),
+            (Urgency::Relayed, copies),
+            (Urgency::Periodic, copies),
+            (Urgency::Change, copies),
             (Urgency::Answer, copies),
         ];
         let went: usize = flood(&all, 10).iter().sum();
@@ -48,7 +48,7 @@
     let mut budget = SendBudget::new(began, RATE);
     for i in 0..2000 {
         let now = began + STEP * i;
-        while budget.take(now, DATAGRAM, Urgency::News) {}
+        while budget.take(now, DATAGRAM, Urgency::Change) {}
         if i % 80 == 0 {
             assert!(budget.take(now, DATAGRAM, Urgency::Answer), "after {i} ms");
         }
