--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -104,7 +104,7 @@
         }
         known.note_vms(now, usize::from(w.vms_known));
         if let Some(r) = w.last_reader.filter(|r| r.vm != site.me.as_str()) {
-            known.confirmation.note_reader(&r.vm, r.told(now));
+            known.confirmation.record_reader(&r.vm, r.told(now));
         }
         let key = |(i, t): &(Instance, Taken)| Some((known.roster.find(i)?, *t));
         let taken: Vec<(EndpointKey, Taken)> = w.taken.iter().filter_map(key).collect();
--- a/crates/limehollow/src/confirmation.rs
+++ b/crates/limehollow/src/confirmation.rs
@@ -39,7 +39,7 @@
 
     /// Notes that another VM read the configuration in the platform's store, about at a moment. That confirms nothing: how
     /// long the word was on its way isn't known. It says whom to ask.
-    pub fn note_reader(&mut self, vm: &SmolStr, at: Instant) {
+    pub fn record_reader(&mut self, vm: &SmolStr, at: Instant) {
         if self.reader.as_ref().is_none_or(|(_, last)| at > *last) {
             self.reader = Some((vm.clone(), at));
         }
