--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -233,7 +233,7 @@
     /// Takes in where a VM is.
     pub(crate) fn learn(&mut self, vm: &Vm) -> bool {
         let (name, zone) = (vm.name.clone(), vm.zone.clone());
-        self.peers.learn(name, zone, vm.address, vm.millicores)
+        self.peers.upsert(name, zone, vm.address, vm.millicores)
     }
 
     /// Notes that the store shows a VM.
@@ -284,7 +284,7 @@
     pub fn list(&mut self, now: Instant, e: Endpoint) -> Update {
         let former = self.start_of(&e.instance.id);
         let (id, cold) = (e.instance.id.clone(), millis(e.cold_ms));
-        let update = self.roster.list(now, e);
+        let update = self.roster.apply_entry(now, e);
         self.forget(now, update.replaced, former);
         if let Some(key) = self.roster.key(&id) {
             self.note_cold(now, key, cold);
@@ -295,7 +295,7 @@
     /// Takes in what the controller knows of an endpoint.
     pub(crate) fn report(&mut self, now: Instant, r: &HoldingsReport) -> Update {
         let former = self.start_of(&r.instance.id);
-        let update = self.roster.report(now, r);
+        let update = self.roster.apply_report(now, r);
         self.forget(now, update.replaced, former);
         if update.is_restart() {
             self.note_start(now, &r.instance.id);
@@ -312,7 +312,7 @@
         match self.balance.backpressure.limit(key) {
             Some(l) if l.is_cold => self.quotas.limit_cold_endpoint(now, id, l.rate),
             Some(l) => self.quotas.limit_endpoint(now, id, l.rate),
-            None => self.quotas.free_endpoint(id),
+            None => self.quotas.remove_endpoint_limit(id),
         }
     }
 
@@ -342,7 +342,9 @@
             let left_ms = left.as_millis();
             tracing::info!(endpoint = %e.instance, left_ms, rate = spec.rate, "an endpoint is cold");
         }
-        self.balance.backpressure.cool(key, now + left, spec.rate);
+        self.balance
+            .backpressure
+            .mark_cold(key, now + left, spec.rate);
         self.set_limit(now, key);
     }
 
@@ -358,7 +360,7 @@
 
     /// Ends the cold times that are over.
     pub(crate) fn warm_up(&mut self, now: Instant) {
-        for key in self.balance.backpressure.warm_up(now) {
+        for key in self.balance.backpressure.end_cold_periods(now) {
             self.set_limit(now, key);
         }
     }
@@ -395,7 +397,7 @@
         };
         let is_news = self.roster.get(key).is_some_and(|e| !e.leaving);
         if is_news {
-            self.roster.leave(key);
+            self.roster.mark_leaving(key);
             self.gone.insert(instance.clone(), now);
             self.note_crashed(now, instance);
         }
@@ -445,7 +447,7 @@
 
     /// Takes in that a start of an endpoint has crashed: what it ran is suspect. Gives whether it ran anything.
     pub(crate) fn note_crashed(&mut self, now: Instant, start: &Instance) -> bool {
-        let cut_off = self.crash_watch.note_crashed(start);
+        let cut_off = self.crash_watch.record_crash(start);
         for c in &cut_off {
             self.note_suspect(now, start, *c);
         }
@@ -456,7 +458,7 @@
     pub(crate) fn note_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
         let tag = StartTag::from(start);
         let from = (c.request, c.origin);
-        let outcome = self.quarantine.note_crash(now, from, tag, c.timing);
+        let outcome = self.quarantine.record_crash(now, from, tag, c.timing);
         if may_log() {
             let record = self.quarantine.record(now, c.request);
             tracing::info!(
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -3,7 +3,7 @@
 use crate::edge::{Feed, Protocol, Store};
 use crate::site::Site;
 use limehollow::candidacy::Notice;
-use limehollow::group_lease::{Dealt, GroupLease, JOIN_EVERY, LeaseChange, TTL};
+use limehollow::group_lease::{GroupAssignment, GroupLease, JOIN_EVERY, LeaseChange, TTL};
 use smol_str::SmolStr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -118,11 +118,11 @@
         .peers
         .candidate_rank(now)
         .filter(|_| !known.is_starting);
-    rank.is_some_and(|r| known.candidacy.stands(now, r))
+    rank.is_some_and(|r| known.candidacy.may_join(now, r))
 }
 
 /// Takes in the platform's answer, and what this VM says of the lease from now on.
-fn take_in<P>(site: &Site<P>, lease: &SharedLease, sent: Instant, dealt: Dealt)
+fn take_in<P>(site: &Site<P>, lease: &SharedLease, sent: Instant, dealt: GroupAssignment)
 where
     P: Protocol,
 {
@@ -130,10 +130,10 @@
     let mut known = site.known();
     let known = &mut *known;
     with_lease(lease, |l| {
-        match l.dealt(sent, now, dealt) {
+        match l.apply_assignment(sent, now, dealt) {
             Some(LeaseChange::Taken(fence)) => {
                 let before = known.candidacy.predecessor(now, fence);
-                l.follows(before);
+                l.set_predecessor(before);
                 tracing::info!(fence, ?before, "lease taken");
             }
             Some(LeaseChange::Resumed(fence)) => tracing::info!(fence, "lease resumed"),
@@ -145,7 +145,7 @@
         }
         if l.is_held() {
             let notice = notice(site, l, true);
-            known.candidacy.hear(now, notice.clone());
+            known.candidacy.observe(now, notice.clone());
             known.lease_notice = Some((notice, sent + TTL));
         }
         site.metrics.holds_lease.set(i64::from(l.is_held()));
@@ -158,8 +158,8 @@
     P: Protocol,
 {
     let known = site.known();
-    let others = known.peers.alive_here(now) - 1;
-    let none_reads = others > 0 && known.peers.failing_here(now) == others;
+    let others = known.peers.alive_in_zone(now) - 1;
+    let none_reads = others > 0 && known.peers.failing_in_zone(now) == others;
     none_reads && known.readings.is_failing(Feed::Endpoints)
 }
 
@@ -171,7 +171,7 @@
 {
     let notice = with_lease(lease, |l| notice(site, l, true));
     let mut known = site.known();
-    known.candidacy.hear(now, notice.clone());
+    known.candidacy.observe(now, notice.clone());
     known.lease_notice = Some((notice, now + TTL));
 }
 
@@ -185,11 +185,11 @@
         if is_store_away {
             l.suspend();
         } else {
-            l.drop_it();
+            l.release();
         }
     });
     let mut known = site.known();
-    known.candidacy.listen(now);
+    known.candidacy.restart(now);
     known.lease_notice = None;
     site.metrics.holds_lease.set(0);
     tracing::info!(is_store_away, "lease lapsed");
@@ -204,11 +204,11 @@
     with_lease(lease, |l| {
         if l.is_held() {
             let notice = notice(site, l, false);
-            known.candidacy.hear(now, notice.clone());
+            known.candidacy.observe(now, notice.clone());
             known.lease_notice = Some((notice, now + RESIGNED_FOR));
             site.urgent.notify_one();
         }
-        l.drop_it();
+        l.release();
     });
     site.metrics.holds_lease.set(0);
 }
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -22,7 +22,12 @@
     take_in_crashes(site, &mut w);
     let says_nothing = w.scope == Scope::News && w.reports.is_empty() && w.crashes.is_empty();
     let passes_on = is_forwarded && !says_nothing && is_due(site, &w);
-    let on = passes_on.then(|| (w.clone(), site.known().peers.listeners(site.now())));
+    let on = passes_on.then(|| {
+        (
+            w.clone(),
+            site.known().peers.responsive_neighbours(site.now()),
+        )
+    });
     take_in(site, w);
     on
 }
@@ -93,13 +98,13 @@
         if let Ok(address) = w.address.parse()
             && known
                 .peers
-                .learn(w.from.clone(), zone.clone(), address, w.millicores)
+                .upsert(w.from.clone(), zone.clone(), address, w.millicores)
         {
             tracing::info!(vm = %w.from, %address, "a VM was heard of first from itself");
         }
         known.note_vms(now, usize::from(w.vms_known));
         if let Some(r) = w.last_reader.filter(|r| r.vm != site.me.as_str()) {
-            known.confirmation.note_reader(&r.vm, r.told(now));
+            known.confirmation.record_reader(&r.vm, r.told(now));
         }
         let key = |(i, t): &(Instance, Taken)| Some((known.roster.find(i)?, *t));
         let taken: Vec<(EndpointKey, Taken)> = w.taken.iter().filter_map(key).collect();
@@ -112,8 +117,8 @@
             Scope::Vm | Scope::Change => {
                 let is_new = known.peers.receive(now, &w.from, w.start, w.number);
                 if is_new && zone == site.zone {
-                    known.peers.note_store(&w.from, w.reaches_store);
-                    known.peers.note_list(&w.from, w.reads_list);
+                    known.peers.set_reaches_store(&w.from, w.reaches_store);
+                    known.peers.set_reads_list(&w.from, w.reads_list);
                     known.note_ahead_here(&w.from, w.positions.endpoints);
                 }
                 if is_new && zone == site.zone && w.scope == Scope::Vm {
@@ -147,7 +152,7 @@
         known.wanted.extend(w.wants.into_iter().map(|m| (m, now)));
         // A zone that repeats what is known here says nothing new, but is heard all the same.
         if let Some(notice) = w.lease
-            && known.candidacy.hear(now, heard(now, notice))
+            && known.candidacy.observe(now, heard(now, notice))
         {
             site.lease_free.notify_one();
         }
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -5,7 +5,7 @@
 use crate::receiver::is_zone;
 use crate::site::Site;
 use crate::start;
-use limehollow::backpressure::RateWord;
+use limehollow::backpressure::RateObservation;
 use limehollow::balance::{MESSAGE_LIFE, Taken};
 use limehollow::candidacy::Notice;
 use limehollow::crash_record::CrashRecord;
@@ -151,7 +151,7 @@
     /// Tells whether the whole message may go before its time, when there is something to say anyway: to so many that listen it
     /// goes the more seldom, so that it costs as much in each zone.
     fn may_say_all(&self, now: Instant) -> bool {
-        let listeners = self.site.known().peers.listeners(now).len();
+        let listeners = self.site.known().peers.responsive_neighbours(now).len();
         let pause = EARLY_EACH * u32::try_from(listeners).unwrap_or(u32::MAX);
         listeners > 0 && now.saturating_duration_since(self.said_all) >= pause
     }
@@ -164,19 +164,19 @@
         let known = &mut *known;
         let pace = pace(known.peers.neighbours().len());
         self.due = now + pace.mul_f64(rand::random_range(OUT_OF_STEP));
-        let told = known.quarantine.take_told(now);
-        let mut own = self.own(now, known, told.here);
+        let told = known.quarantine.take_batch(now);
+        let mut own = self.own(now, known, told.own_zone);
         own.rates = self.rates(now, known);
         own.reports = known.reports.take();
         own.wants = std::mem::take(&mut known.wants).into_iter().collect();
-        let mut to = known.peers.told_here(now);
+        let mut to = known.peers.zone_recipients(now);
         if !own.wants.is_empty() {
             to.extend(controller(now, known).filter(|a| !to.contains(a)));
         }
         if known.peers.known() == 1 {
             to.clone_from(&self.seeds);
         }
-        let mut outgoing = abroad(&own, now, known, told.abroad);
+        let mut outgoing = abroad(&own, now, known, told.other_zones);
         // The pause is drawn anew each time: measured by the whole pace, every second message would come too early for sums.
         let is_due = now.duration_since(self.summed) >= pace.mul_f64(OUT_OF_STEP.start);
         if is_due && known.peers.is_zone_leader(now) {
@@ -197,12 +197,12 @@
         let site = Arc::clone(&self.site);
         let mut known = site.known();
         let known = &mut *known;
-        let told = known.quarantine.take_told(now);
-        let mut own = self.own(now, known, told.here);
+        let told = known.quarantine.take_batch(now);
+        let mut own = self.own(now, known, told.own_zone);
         own.rates = self.rates(now, known);
         own.reports = known.reports.take();
-        let to = known.peers.told_here(now);
-        let mut outgoing = abroad(&own, now, known, told.abroad);
+        let to = known.peers.zone_recipients(now);
+        let mut outgoing = abroad(&own, now, known, told.other_zones);
         outgoing.extend(list_news(&own, known, &to));
         let change = Message {
             scope: Scope::Change,
@@ -240,9 +240,12 @@
         let wishes = &known.balance.backpressure;
         let words = if now.duration_since(self.limits_said) >= LIMITS_SAID_EVERY {
             self.limits_said = now;
-            self.some_in_turn(wishes.limits().collect())
+            self.some_in_turn(wishes.active_limits().collect())
         } else {
-            wishes.news(now, RATE_SAID_FOR).take(MAX_RATES).collect()
+            wishes
+                .recent_changes(now, RATE_SAID_FOR)
+                .take(MAX_RATES)
+                .collect()
         };
         let said = words.into_iter().filter_map(|(k, w)| {
             let instance = known.roster.get(k)?.instance.clone();
@@ -254,8 +257,8 @@
     /// Gives as many of some words as go into a message, others the next time.
     fn some_in_turn(
         &mut self,
-        mut words: Vec<(EndpointKey, RateWord)>,
-    ) -> Vec<(EndpointKey, RateWord)> {
+        mut words: Vec<(EndpointKey, RateObservation)>,
+    ) -> Vec<(EndpointKey, RateObservation)> {
         self.turn += 1;
         if words.len() > MAX_RATES {
             let first = self.turn * MAX_RATES % words.len();
@@ -328,7 +331,7 @@
         outgoing.push((news(own), known.peers.zone_targets(now)));
     }
     if !crashed.is_empty() {
-        outgoing.push((crashes(own, crashed), known.peers.zone_turns()));
+        outgoing.push((crashes(own, crashed), known.peers.next_in_other_zones()));
     }
     outgoing
 }
@@ -450,7 +453,7 @@
     }
     let whole = Message {
         scope: Scope::Zone,
-        vms: u16::try_from(known.peers.alive_here(now)).unwrap_or(u16::MAX),
+        vms: u16::try_from(known.peers.alive_in_zone(now)).unwrap_or(u16::MAX),
         demand: demand.into_iter().collect(),
         gone: own.gone.clone(),
         leaving: own.leaving.clone(),
@@ -509,7 +512,7 @@
 /// Gives what a VM of this zone says of the lease, for the other zones.
 fn zone_notice(now: Instant, known: &Known) -> Option<LeaseNotice> {
     let heard = known.candidacy.fresh(now);
-    let here = heard.filter(|w| known.peers.is_here(&w.vm));
+    let here = heard.filter(|w| known.peers.is_in_own_zone(&w.vm));
     here.map(|w| said(now, w))
 }
 
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -344,7 +344,7 @@
                 "copies": e.copies,
             })
         });
-        let heard = known.peers.silences(now);
+        let heard = known.peers.message_ages(now);
         let heard = heard.map(|(vm, t)| (vm.clone(), t.map(|t| t.as_millis())));
         let heard: BTreeMap<SmolStr, Option<u128>> = heard.collect();
         serde_json::json!({
@@ -405,7 +405,7 @@
         let wishes = &known.balance.backpressure;
         self.metrics
             .endpoints_limited
-            .set(count(wishes.limits().count()));
+            .set(count(wishes.active_limits().count()));
         self.metrics
             .endpoints_cold
             .set(count(wishes.cold().count()));
@@ -434,7 +434,7 @@
     /// Takes in that an endpoint has run a request to its end: it doesn't crash those that run it.
     pub(crate) fn note_answer(&self, request: Fingerprint) {
         let now = self.now();
-        if self.known().quarantine.note_answer(now, request) {
+        if self.known().quarantine.record_answer(now, request) {
             self.tell_cleared(request, "an endpoint that ran it");
         }
     }
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -15,7 +15,7 @@
 use limehollow::catalog::{CallerLimits, Catalog, Rule, Share};
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
-use limehollow::group_lease::{Dealt, Term};
+use limehollow::group_lease::{GroupAssignment, Term};
 use limehollow::id::ServiceName;
 use limehollow::log_position::LogPosition;
 use limehollow::rebalance::EndpointReport;
@@ -123,7 +123,7 @@
             leaving: headers.contains_key("x-leaving"),
             rate: number("x-rate").map_or(RateSignal::Unnamed, RateSignal::Named),
             cold: number("x-cold").map(|ms| Duration::from_secs_f64(ms / 1000.0)),
-            rest: number("x-rest")
+            backoff: number("x-rest")
                 .filter(|_| turned_away)
                 .map(Duration::from_secs_f64),
         }
@@ -333,7 +333,7 @@
         for (i, address) in servers.iter().enumerate() {
             site.known()
                 .roster
-                .list(tokio::time::Instant::now(), endpoint(i, *address));
+                .apply_entry(tokio::time::Instant::now(), endpoint(i, *address));
         }
         Self::with(site).await
     }
@@ -606,13 +606,13 @@
         Ok(())
     }
 
-    async fn join(&self, _: &str, _: u64) -> Result<Dealt, StoreError> {
-        Ok(Dealt {
+    async fn join(&self, _: &str, _: u64) -> Result<GroupAssignment, StoreError> {
+        Ok(GroupAssignment {
             term: Term {
                 era: 0,
                 generation: 1,
             },
-            mine: true,
+            holds_lease: true,
         })
     }
 
--- a/crates/limehollow/src/backpressure.rs
+++ b/crates/limehollow/src/backpressure.rs
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 
 /// The longest rest that is granted at a word. An endpoint that wants more says so again at the request that comes then.
-pub const LONGEST_REST: Duration = Duration::from_secs(3600);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(3600);
 /// The lowest rate at which an endpoint is asked, in requests a second: with none at all nobody would hear that its limit has
 /// ended.
 pub const LEAST_RATE: f64 = 0.1;
@@ -58,7 +58,7 @@
     /// How many requests it takes.
     pub rate: RateSignal,
     /// For how long it wants nothing of this VM.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// For how long it is cold.
     pub cold: Option<Duration>,
 }
@@ -68,30 +68,30 @@
 /// Answers come on several connections, so the one that is heard last need not be the one that was written last. It was
 /// written between the sending of its request and its hearing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RateWord {
+pub struct RateObservation {
     /// Requests a second of all VMs together; none if it named no limit.
     pub rate: Option<f64>,
     /// When the request was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
     /// When the answer was heard.
-    pub heard: Instant,
+    pub received_at: Instant,
 }
 
-impl RateWord {
+impl RateObservation {
     /// Gives which of two words of an endpoint counts: the one that was certainly written later, and the stricter one where
     /// that can't be told.
     #[must_use]
-    pub fn join(self, other: Self) -> Self {
-        if other.asked >= self.heard {
+    pub fn merge(self, other: Self) -> Self {
+        if other.sent_at >= self.received_at {
             return other;
         }
-        if self.asked >= other.heard {
+        if self.sent_at >= other.received_at {
             return self;
         }
         let rate = |w: &Self| w.rate.unwrap_or(f64::INFINITY);
         match rate(&other).total_cmp(&rate(&self)) {
             Ordering::Less => other,
-            Ordering::Equal if other.heard > self.heard => other,
+            Ordering::Equal if other.received_at > self.received_at => other,
             Ordering::Equal | Ordering::Greater => self,
         }
     }
@@ -111,15 +111,15 @@
 
 /// What is new after an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct SignalChange {
     /// What changed of its limit.
     pub rate: RateChange,
     /// The rest that was asked for.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     until: Instant,
     /// Whether a request is under way that shows whether the endpoint takes requests again.
     trial: bool,
@@ -144,10 +144,10 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Row {
-    word: Option<RateWord>,
+    word: Option<RateObservation>,
     /// When the other VMs had to be told anew: the word changed, or one of them still had a limit that has ended.
     is_news_since: Option<Instant>,
-    rest: Option<Rest>,
+    backoff: Option<Backoff>,
     cold: Option<Cold>,
 }
 
@@ -201,9 +201,9 @@
     /// Gives in how long an endpoint that rests takes a request of this VM; none if it does now.
     #[must_use]
     pub fn opens_in(&self, now: Instant, key: EndpointKey) -> Option<Duration> {
-        let rest = self.rows.get(key)?.rest?;
-        let left = rest.until.saturating_duration_since(now);
-        match (left.is_zero(), rest.trial) {
+        let backoff = self.rows.get(key)?.backoff?;
+        let left = backoff.until.saturating_duration_since(now);
+        match (left.is_zero(), backoff.trial) {
             (false, _) => Some(left),
             (true, true) => Some(TRIAL_AGAIN),
             (true, false) => None,
@@ -212,9 +212,9 @@
 
     /// Tells whether an endpoint wants nothing of this VM now, not even a request that shows whether its rest is over.
     #[must_use]
-    pub fn rests(&self, now: Instant, key: EndpointKey) -> bool {
-        let rest = self.rows.get(key).and_then(|r| r.rest);
-        rest.is_some_and(|r| now < r.until)
+    pub fn is_backing_off(&self, now: Instant, key: EndpointKey) -> bool {
+        let backoff = self.rows.get(key).and_then(|r| r.backoff);
+        backoff.is_some_and(|r| now < r.until)
     }
 
     /// Gives the endpoints to which no request of this VM may be sent now.
@@ -224,11 +224,11 @@
     }
 
     /// Gives the words that the other VMs have to be told of, which is so for some time after a change.
-    pub fn news(
+    pub fn recent_changes(
         &self,
         now: Instant,
         told_for: Duration,
-    ) -> impl Iterator<Item = (EndpointKey, RateWord)> {
+    ) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
         let recent = move |t: Instant| now.saturating_duration_since(t) < told_for;
         let rows = self.rows.iter();
         let rows = rows.filter(move |(_, r)| r.is_news_since.is_some_and(recent));
@@ -236,7 +236,7 @@
     }
 
     /// Gives the words of all limits that stand. A VM that started again hears of them by these.
-    pub fn limits(&self) -> impl Iterator<Item = (EndpointKey, RateWord)> {
+    pub fn active_limits(&self) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
         let rows = self.rows.iter();
         let words = rows.filter_map(|(k, r)| Some((k, r.word?)));
         words.filter(|(_, w)| w.rate.is_some())
@@ -245,49 +245,58 @@
 
 /// Commands.
 impl Backpressure {
-    /// Takes in what an answer says to a request that was sent at `asked`.
-    pub fn hear(&mut self, now: Instant, key: EndpointKey, asked: Instant, s: Signals) -> Heard {
-        let rest = s.rest.filter(|r| !r.is_zero()).map(|r| r.min(LONGEST_REST));
-        if let Some(rest) = rest {
-            self.rest(now + rest, key);
+    /// Takes in what an answer says to a request that was sent at `sent_at`.
+    pub fn observe(
+        &mut self,
+        now: Instant,
+        key: EndpointKey,
+        sent_at: Instant,
+        s: Signals,
+    ) -> SignalChange {
+        let backoff = s
+            .backoff
+            .filter(|r| !r.is_zero())
+            .map(|r| r.min(MAX_BACKOFF));
+        if let Some(backoff) = backoff {
+            self.backoff(now + backoff, key);
         }
         let rate = match s.rate {
             RateSignal::Unreadable => RateChange::Unchanged,
-            RateSignal::Unnamed => self.end_limit(now, key, asked),
+            RateSignal::Unnamed => self.end_limit(now, key, sent_at),
             RateSignal::Named(rate) => {
                 let rate = (rate < UNLIMITED_FROM).then_some(rate.max(LEAST_RATE));
-                let word = RateWord {
+                let word = RateObservation {
                     rate,
-                    asked,
-                    heard: now,
+                    sent_at,
+                    received_at: now,
                 };
-                self.join(now, key, word)
+                self.merge(now, key, word)
             }
         };
-        Heard { rate, rest }
+        SignalChange { rate, backoff }
     }
 
     /// Takes in an answer without a limit, which is of matter only where one was heard.
-    fn end_limit(&mut self, now: Instant, key: EndpointKey, asked: Instant) -> RateChange {
+    fn end_limit(&mut self, now: Instant, key: EndpointKey, sent_at: Instant) -> RateChange {
         if self.named(key).is_none() {
             return RateChange::Unchanged;
         }
-        let word = RateWord {
+        let word = RateObservation {
             rate: None,
-            asked,
-            heard: now,
+            sent_at,
+            received_at: now,
         };
-        self.join(now, key, word)
+        self.merge(now, key, word)
     }
 
     /// Takes in a word of an endpoint, heard here or by another VM. Gives what changed.
-    pub fn join(&mut self, now: Instant, key: EndpointKey, word: RateWord) -> RateChange {
+    pub fn merge(&mut self, now: Instant, key: EndpointKey, word: RateObservation) -> RateChange {
         let Some(row) = self.rows.entry(key) else {
             return RateChange::Unchanged;
         };
         let row = row.or_default();
         let before = row.word.and_then(|w| w.rate);
-        let joined = row.word.map_or(word, |w| w.join(word));
+        let joined = row.word.map_or(word, |w| w.merge(word));
         if joined.rate != before || joined.rate.is_none() && word.rate.is_some() {
             row.is_news_since = Some(now);
         }
@@ -303,7 +312,7 @@
     ///
     /// What is told late names a later end. It is believed: an endpoint that is taken for cold for too long is only left alone
     /// while others have room, one that is taken for warm too early falls over.
-    pub fn cool(&mut self, key: EndpointKey, until: Instant, rate: f64) {
+    pub fn mark_cold(&mut self, key: EndpointKey, until: Instant, rate: f64) {
         let Some(row) = self.rows.entry(key) else {
             return;
         };
@@ -313,7 +322,7 @@
     }
 
     /// Ends the cold times that are over. Gives the endpoints that are warm from now on.
-    pub fn warm_up(&mut self, now: Instant) -> Vec<EndpointKey> {
+    pub fn end_cold_periods(&mut self, now: Instant) -> Vec<EndpointKey> {
         let is_over = |r: &Row| r.cold.is_some_and(|c| now >= c.until);
         let rows = self.rows.iter_mut().filter(|(_, r)| is_over(r));
         let warm = rows.map(|(k, r)| {
@@ -324,25 +333,25 @@
     }
 
     /// A rest that was asked for in an answer that comes late counts as well: each of them was meant.
-    fn rest(&mut self, until: Instant, key: EndpointKey) {
+    fn backoff(&mut self, until: Instant, key: EndpointKey) {
         let Some(row) = self.rows.entry(key) else {
             return;
         };
         let row = row.or_default();
-        let rest = row.rest.get_or_insert(Rest {
+        let backoff = row.backoff.get_or_insert(Backoff {
             until,
             trial: false,
         });
-        rest.until = rest.until.max(until);
+        backoff.until = backoff.until.max(until);
     }
 
     /// Notes that a request is sent to an endpoint. Gives whether it shows if a rest is over.
     pub(crate) fn start(&mut self, now: Instant, key: EndpointKey) -> bool {
-        let rest = self.rows.get_mut(key).and_then(|r| r.rest.as_mut());
-        let Some(rest) = rest.filter(|r| now >= r.until && !r.trial) else {
+        let backoff = self.rows.get_mut(key).and_then(|r| r.backoff.as_mut());
+        let Some(backoff) = backoff.filter(|r| now >= r.until && !r.trial) else {
             return false;
         };
-        rest.trial = true;
+        backoff.trial = true;
         true
     }
 
@@ -354,10 +363,10 @@
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
-        if let Some(rest) = &mut row.rest {
-            rest.trial = false;
-            if answered && now >= rest.until {
-                row.rest = None;
+        if let Some(backoff) = &mut row.backoff {
+            backoff.trial = false;
+            if answered && now >= backoff.until {
+                row.backoff = None;
             }
         }
     }
--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -3,7 +3,7 @@
 use super::{Command, Driver, Order, SendResult, Sent};
 use crate::fleet::{Fleet, OrderState, Presence};
 use crate::id::{Incarnation, Offset, VmName};
-use crate::listing::Look;
+use crate::listing::Observation;
 use crate::membership::Membership;
 use crate::plan::Action;
 use crate::record::{Evidence, OrderSettled, Outcome, Record};
@@ -224,7 +224,12 @@
     }
 
     /// Returns the last observation of an endpoint if no part of it can be older than `since`.
-    fn fresh_look(&self, vm: &VmName, incarnation: Incarnation, since: Instant) -> Option<&Look> {
+    fn fresh_look(
+        &self,
+        vm: &VmName,
+        incarnation: Incarnation,
+        since: Instant,
+    ) -> Option<&Observation> {
         let look = self.watches.get(vm)?.look.as_ref()?;
         let fresh = look.began >= since + self.rules.report_lag;
         (fresh && look.incarnation == incarnation).then_some(look)
@@ -245,7 +250,7 @@
 }
 
 /// Returns the outcome of an order as shown by an observation that is newer than the order.
-fn effect(o: &OrderState, look: &Look) -> Outcome {
+fn effect(o: &OrderState, look: &Observation) -> Outcome {
     if look.has(&o.place, &o.model) == (o.action == Action::Load) {
         return Outcome::Done;
     }
--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -137,7 +137,7 @@
 
 /// A record that is still to be told.
 #[derive(Clone, Copy, Debug)]
-struct Untold {
+struct PendingRecord {
     request: Fingerprint,
     /// How many more messages carry it.
     times: u32,
@@ -147,11 +147,11 @@
 
 /// The records that go into the next messages.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct RecordBatch {
     /// Into that for the VMs of the own zone.
-    pub here: Vec<CrashRecord>,
+    pub own_zone: Vec<CrashRecord>,
     /// Into that for other zones.
-    pub abroad: Vec<CrashRecord>,
+    pub other_zones: Vec<CrashRecord>,
 }
 
 /// What one VM knows of requests that may crash endpoints.
@@ -167,7 +167,7 @@
     /// What ran to its end lately.
     answers: RecentAnswers,
     /// What is still to be told.
-    untold: VecDeque<Untold>,
+    untold: VecDeque<PendingRecord>,
     /// What was quarantined or cleared and isn't kept outside this process yet.
     unsaved: BTreeSet<Fingerprint>,
 }
@@ -254,7 +254,7 @@
     }
 
     /// Notes that a start of an endpoint crashed while it had a request.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         now: Instant,
         (request, origin): (Fingerprint, OriginTag),
@@ -281,7 +281,7 @@
     }
 
     /// Notes that an endpoint has run a request to its end. Gives whether anything spoke against it, which it does no more.
-    pub fn note_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
+    pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
         self.answers.note(now, request);
         self.clear(now, request)
     }
@@ -402,13 +402,13 @@
     }
 
     fn set_digest(&mut self, now: Instant, digest: u64) {
-        self.note_contained(self.digest);
+        self.mark_contained(self.digest);
         self.digest = digest;
         self.changed = Some(now);
     }
 
     /// Notes that all is known that a VM with this digest knows.
-    pub fn note_contained(&mut self, digest: u64) {
+    pub fn mark_contained(&mut self, digest: u64) {
         self.contained.push_front(digest);
         self.contained.truncate(MAX_CONTAINED);
     }
@@ -416,7 +416,7 @@
     /// Puts a record into the next messages.
     fn tell(&mut self, request: Fingerprint, times: u32) {
         self.untold.retain(|u| u.request != request);
-        self.untold.push_back(Untold {
+        self.untold.push_back(PendingRecord {
             request,
             times,
             is_own: true,
@@ -429,7 +429,7 @@
     /// 2.7 s, and 1.7 s with this.
     fn tell_again(&mut self, request: Fingerprint) {
         if self.untold.iter().all(|u| u.request != request) {
-            self.untold.push_back(Untold {
+            self.untold.push_back(PendingRecord {
                 request,
                 times: 1,
                 is_own: false,
@@ -438,20 +438,20 @@
     }
 
     /// Takes the records that go into the next messages.
-    pub fn take_told(&mut self, now: Instant) -> Told {
+    pub fn take_batch(&mut self, now: Instant) -> RecordBatch {
         let due = self.untold.len().min(MAX_TOLD);
-        let due: Vec<Untold> = self.untold.drain(..due).collect();
-        let mut told = Told::default();
+        let due: Vec<PendingRecord> = self.untold.drain(..due).collect();
+        let mut told = RecordBatch::default();
         for u in due {
             let Some(record) = self.record(now, u.request) else {
                 continue;
             };
             if u.is_own {
-                told.abroad.push(record.clone());
+                told.other_zones.push(record.clone());
             }
-            told.here.push(record);
+            told.own_zone.push(record);
             if u.times > 1 {
-                self.untold.push_back(Untold {
+                self.untold.push_back(PendingRecord {
                     times: u.times - 1,
                     ..u
                 });
@@ -466,7 +466,7 @@
     }
 
     /// Notes that it is kept.
-    pub fn note_saved(&mut self, request: Fingerprint) {
+    pub fn mark_saved(&mut self, request: Fingerprint) {
         self.unsaved.remove(&request);
     }
 
