--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -219,11 +219,11 @@
     if !pass.is_none_or(|p| keys::holds(site, p)) {
         return Err(Failed::key_gone());
     }
-    let known = site.known();
-    if !known.roster.takes_work(to.key) {
+    let view = site.view();
+    if !view.roster.takes_work(to.key) {
         return Err(Failed::gone());
     }
-    let (now, wishes) = (site.now(), &known.balance.backpressure);
+    let (now, wishes) = (site.now(), &view.balance.backpressure);
     let has_room = match to.room {
         Room::Exempt => true,
         Room::Unlimited => wishes.rate(to.key).is_none(),
--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -6,10 +6,10 @@
 use crate::attempt::{Room, Target};
 use crate::clock::Clock;
 use crate::edge::{Protocol, Store};
-use crate::known::Known;
 use crate::lease::{SharedLease, fence, keep_lease};
 use crate::order_task::{Ended, Moved, OrderTask, SharedLateLoads, SharedLoadWindow};
 use crate::site::Site;
+use crate::site_view::SiteView;
 use limehollow::catalog::{Catalog, EngineSpec};
 use limehollow::group_lease::GroupLease;
 use limehollow::id::{EndpointKey, ServiceName};
@@ -82,9 +82,9 @@
 }
 
 /// Gives the endpoints that are listed but out of reach.
-fn lost(known: &Known, now: Instant) -> BTreeSet<EndpointKey> {
-    let keys = known.roster.iter().map(|(k, _)| k);
-    keys.filter(|k| known.balance.is_lost(now, *k)).collect()
+fn lost(view: &SiteView, now: Instant) -> BTreeSet<EndpointKey> {
+    let keys = view.roster.iter().map(|(k, _)| k);
+    keys.filter(|k| view.balance.is_lost(now, *k)).collect()
 }
 
 /// Weighs, and gives when to weigh again.
@@ -159,15 +159,15 @@
             let Some(engine) = &spec.engine else { continue };
             let r = self.rebalancers.entry(service.clone()).or_default();
             r.observe(now, &demand);
-            r.observe_lost(lost(&self.site.known(), now));
+            r.observe_lost(lost(&self.site.view(), now));
             if now.duration_since(self.logged) >= LOG_DEMAND_EVERY {
                 self.logged = now;
-                let known = self.site.known();
-                let seen = r.loads(&known.roster, service, engine);
-                let token_us: Vec<_> = known.balance.token_us().collect();
+                let view = self.site.view();
+                let seen = r.loads(&view.roster, service, engine);
+                let token_us: Vec<_> = view.balance.token_us().collect();
                 tracing::info!(%service, models = ?seen.models, endpoints = ?seen.endpoints, ?token_us, "demand");
             }
-            let moves = r.plan(now, &self.site.known().roster, service, engine, ceiling);
+            let moves = r.plan(now, &self.site.view().roster, service, engine, ceiling);
             for (key, m) in moves {
                 tracing::info!(fence, load = %m.load, evict = ?m.evict, "move begins");
                 self.books.remove(&key);
@@ -204,8 +204,8 @@
 
     /// Drops what is known of starts of endpoints that are gone.
     fn forget_former_starts(&mut self) {
-        let known = self.site.known();
-        self.books.retain(|k, _| known.roster.get(*k).is_some());
+        let view = self.site.view();
+        self.books.retain(|k, _| view.roster.get(*k).is_some());
     }
 
     /// Begins to load adapters that are asked for and not there.
@@ -224,10 +224,10 @@
             r.observe(now, &demand);
             let at_work = &self.at_work;
             let resting = |k: EndpointKey| !at_work.contains(&k);
-            let known = self.site.known();
-            let wanted = &known.wanted;
-            let moves = r.plan_adapters(now, &known.roster, service, engine, wanted, resting);
-            drop(known);
+            let view = self.site.view();
+            let wanted = &view.wanted;
+            let moves = r.plan_adapters(now, &view.roster, service, engine, wanted, resting);
+            drop(view);
             for (key, m) in moves {
                 let book = self.books.get(&key).cloned();
                 if let Some(task) = self.task(service, key, engine) {
@@ -244,13 +244,13 @@
 
     /// Sums what the callers of all VMs ask for.
     fn demand(&self, now: Instant) -> BTreeMap<ModelRef, f64> {
-        let mut known = self.site.known();
-        let mut sum: BTreeMap<ModelRef, f64> = known.arrivals.rates(now).into_iter().collect();
-        for (m, d) in known.demand.values().flat_map(|(_, d)| d) {
+        let mut view = self.site.view();
+        let mut sum: BTreeMap<ModelRef, f64> = view.arrivals.rates(now).into_iter().collect();
+        for (m, d) in view.demand.values().flat_map(|(_, d)| d) {
             *sum.entry(m.clone()).or_default() += f64::from(*d);
         }
         // A request that waits is told at once, before the demand that it is part of.
-        for m in known.wanted.keys() {
+        for m in view.wanted.keys() {
             sum.entry(m.clone()).or_insert(WAITING_DEMAND);
         }
         sum
@@ -262,8 +262,8 @@
         key: EndpointKey,
         spec: &EngineSpec,
     ) -> Option<OrderTask<P>> {
-        let known = self.site.known();
-        let e = known.roster.get(key)?;
+        let view = self.site.view();
+        let e = view.roster.get(key)?;
         Some(OrderTask {
             site: Arc::clone(&self.site),
             lease: Arc::clone(&self.lease),
--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -2,8 +2,8 @@
 
 use crate::attempt::{Room, Target};
 use crate::edge::Protocol;
-use crate::known::Known;
 use crate::site::Site;
+use crate::site_view::SiteView;
 use limehollow::crash_watch::{CutOff, Suspicion};
 use limehollow::id::EndpointKey;
 use limehollow::instance::Instance;
@@ -34,12 +34,12 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
-    let known: &mut Known = &mut known;
-    let Some(e) = known.roster.get(key) else {
+    let mut view = site.view();
+    let view: &mut SiteView = &mut view;
+    let Some(e) = view.roster.get(key) else {
         return;
     };
-    let was_replaced = known.gone.contains_key(&e.instance);
+    let was_replaced = view.gone.contains_key(&e.instance);
     if e.leaving && !was_replaced {
         return;
     }
@@ -49,13 +49,13 @@
         address: e.address,
         room: Room::Exempt,
     };
-    match known.crash_watch.note_cut_off(now, &to.instance, c) {
+    match view.crash_watch.note_cut_off(now, &to.instance, c) {
         Suspicion::New if was_replaced => {
-            known.note_crashed(now, &to.instance);
+            view.note_crashed(now, &to.instance);
         }
         Suspicion::New => drop(tokio::spawn(ask(Arc::clone(site), to))),
         Suspicion::Pending => {}
-        Suspicion::Crashed => known.note_suspect(now, &to.instance, c),
+        Suspicion::Crashed => view.note_suspect(now, &to.instance, c),
     }
 }
 
@@ -86,7 +86,7 @@
             Finding::Unclear => {}
         }
     }
-    site.known().crash_watch.note_asked(&to.instance);
+    site.view().crash_watch.note_asked(&to.instance);
     site.crash_known.notify_waiters();
 }
 
@@ -105,11 +105,11 @@
 {
     let told = async {
         loop {
-            let known = site.crash_known.notified();
-            if !site.known().crash_watch.is_asked_for(instance) {
+            let crash_known = site.crash_known.notified();
+            if !site.view().crash_watch.is_asked_for(instance) {
                 return;
             }
-            known.await;
+            crash_known.await;
         }
     };
     // Unknown after this time, the request goes on as after any connection that ended.
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -130,14 +130,14 @@
 
     fn note_arrival(&self) {
         let now = self.site.now();
-        let mut known = self.site.known();
+        let mut view = self.site.view();
         if let Some(m) = &self.job.model {
             let engine = self.catalog.engine(&self.job.service);
             let places = engine.map_or(1, |e| e.slots);
-            let work = known.balance.demand_ms(&self.job, places);
-            known.arrivals.note(now, m, work);
+            let work = view.balance.demand_ms(&self.job, places);
+            view.arrivals.note(now, m, work);
         }
-        let window = known.repeats.entry(self.job.service.clone()).or_default();
+        let window = view.repeats.entry(self.job.service.clone()).or_default();
         window.request(now);
     }
 
@@ -148,7 +148,7 @@
         loop {
             let changed = self.site.changed.notified();
             let now = self.site.now();
-            let standing = self.site.known().quarantine.standing(now, self.fingerprint);
+            let standing = self.site.view().quarantine.standing(now, self.fingerprint);
             self.job.isolated = match standing {
                 Standing::Clear => false,
                 Standing::Suspect => true,
@@ -229,8 +229,8 @@
         let Some(wanted) = &self.job.model else {
             return LATER;
         };
-        let known = self.site.known();
-        let mut open = known.roster.open(&self.job.service);
+        let view = self.site.view();
+        let mut open = view.roster.open(&self.job.service);
         if open.any(|(_, e)| e.copies.contains(&wanted.model)) {
             return COPY_SOON;
         }
@@ -256,8 +256,8 @@
         if expected_ms > self.objective_ms() * PATIENCE {
             return Err((Reason::Busy, self.come_back(expected_ms)));
         }
-        let known = self.site.known();
-        let e = known.roster.get(key).ok_or((Reason::NoEndpoint, SOON))?;
+        let view = self.site.view();
+        let e = view.roster.get(key).ok_or((Reason::NoEndpoint, SOON))?;
         let to = Target {
             key,
             instance: e.instance.clone(),
@@ -270,17 +270,17 @@
     async fn attempt(&mut self, c: &Chosen) -> Result<Response<Outgoing<P>>, Failed> {
         let now = self.site.now();
         let sent = {
-            let mut known = self.site.known();
-            let known = &mut *known;
+            let mut view = self.site.view();
+            let view = &mut *view;
             // Of the requests that were waiting for room, another may show whether the endpoint's rest is over.
-            if known.balance.backpressure.opens_in(now, c.to.key).is_some() {
+            if view.balance.backpressure.opens_in(now, c.to.key).is_some() {
                 return Err(Failed::no_room());
             }
-            let Some(e) = known.roster.get(c.to.key) else {
+            let Some(e) = view.roster.get(c.to.key) else {
                 return Err(Failed::gone());
             };
             let to = (c.to.key, e);
-            known.balance.start(now, to, &self.job, c.expected_ms)
+            view.balance.start(now, to, &self.job, c.expected_ms)
         };
         let names = (self.fingerprint, OriginTag::from(self.caller));
         let instance = c.to.instance.clone();
@@ -371,7 +371,7 @@
                 self.site.note_gone(&to.instance);
                 tracing::info!(id = %self.ask.id, "another instance has the endpoint's address");
             }
-            (Shows::NotHeld, Some(m)) => self.site.known().roster.unhold(to.key, m),
+            (Shows::NotHeld, Some(m)) => self.site.view().roster.unhold(to.key, m),
             (Shows::NobodyListens, _) => self.site.note_crashed(&to.instance),
             (Shows::NotHeld | Shows::ConnectionEnded | Shows::KeyGone | Shows::Nothing, _) => {}
         }
@@ -404,9 +404,9 @@
         F: FnOnce(&mut RepeatWindow, Instant, RepeatAllowance, usize) -> bool,
     {
         let rules = self.site.settings.load().repeats();
-        let mut known = self.site.known();
-        let gateways = known.peers.known();
-        let window = known.repeats.entry(self.job.service.clone()).or_default();
+        let mut view = self.site.view();
+        let gateways = view.peers.known();
+        let window = view.repeats.entry(self.job.service.clone()).or_default();
         f(window, self.site.now(), rules, gateways)
     }
 
@@ -466,9 +466,8 @@
     /// Gives back what the request took of its workspace's limit, if that was so recently that the sum over all VMs allows it.
     fn give_back(&self) {
         if let Some(p) = self.pass.filter(|_| self.waited() <= ON_THE_WAY) {
-            let mut known = self.site.known();
-            known
-                .quotas
+            let mut view = self.site.view();
+            view.quotas
                 .give_back(self.site.now(), &p.workspace, self.taken);
         }
     }
@@ -479,8 +478,8 @@
 
     /// Gives how old the list is from which the endpoint was chosen.
     fn list_age(&self) -> Option<Duration> {
-        let known = self.site.known();
-        let freshness = known.readings.freshness(Feed::Endpoints)?;
+        let view = self.site.view();
+        let freshness = view.readings.freshness(Feed::Endpoints)?;
         Some(freshness.age(self.site.now()))
     }
 
--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -82,7 +82,7 @@
             (next, next.is_some())
         }
         // Where the VMs are read on isn't handed over.
-        Feed::Vms => (None, site.known().has_vms),
+        Feed::Vms => (None, site.view().has_vms),
     }
 }
 
@@ -177,7 +177,7 @@
     fn hears_of_vms(&self) -> bool {
         self.f.feed == Feed::Vms
             && self.next.is_none()
-            && self.f.site.known().has_vms
+            && self.f.site.view().has_vms
             && self.role() == Role::Listens
     }
 
@@ -187,9 +187,9 @@
         self.is_behind = false;
         self.began = Some(now);
         let reader = {
-            let known = self.f.site.known();
-            let reader = known.peers.zone_reader(now);
-            reader.and_then(|vm| known.peers.address(vm))
+            let view = self.f.site.view();
+            let reader = view.peers.zone_reader(now);
+            reader.and_then(|vm| view.peers.address(vm))
         };
         let members = match reader {
             Some(address) => self.f.states.fetch_members(address).await,
@@ -295,11 +295,11 @@
 
     /// Gives how this VM follows the feed now.
     fn role(&self) -> Role {
-        let known = self.f.site.known();
+        let view = self.f.site.view();
         let now = self.f.site.now();
-        if known.peers.is_zone_reader(now) {
+        if view.peers.is_zone_reader(now) {
             Role::Reads
-        } else if known.peers.is_zone_waiter(now) {
+        } else if view.peers.is_zone_waiter(now) {
             Role::Waits
         } else {
             Role::Listens
@@ -323,12 +323,12 @@
     /// Gives when the copy is too old: for its own bound, or for keys to count.
     fn stale_at(&self, luck: f64) -> Option<Instant> {
         let patience = self.f.patience(luck);
-        let known = self.f.site.known();
-        let freshness = known.readings.freshness(self.f.feed)?;
+        let view = self.f.site.view();
+        let freshness = view.readings.freshness(self.f.feed)?;
         let due = freshness.complete_at() + self.pace()?.stale_after(luck) + patience;
         let keys = self.f.site.settings.load().key_bound();
         let keys = keys.filter(|_| self.f.feed == Feed::Configuration);
-        let keys = keys.and_then(|b| Some(known.confirmation.at()? + b.read_after(luck)));
+        let keys = keys.and_then(|b| Some(view.confirmation.at()? + b.read_after(luck)));
         Some(keys.map_or(due, |t| due.min(t)))
     }
 
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -70,7 +70,7 @@
 
     /// Gives the longest time between two tries to read the store.
     pub(crate) fn longest_pause(&self) -> Duration {
-        let here = self.site.known().peers.alive_here(self.site.now());
+        let here = self.site.view().peers.alive_here(self.site.now());
         #[expect(clippy::cast_precision_loss, reason = "a zone has few VMs")]
         let here = here as f64;
         LONGEST_PAUSE.mul_f64((here / TRYING).max(1.0))
@@ -94,8 +94,8 @@
     pub(crate) fn patience(&self, luck: f64) -> Duration {
         let now = self.site.now();
         let is_alone = {
-            let known = self.site.known();
-            known.peers.is_zone_waiter(now) || known.peers.failing_here(now) == 0
+            let view = self.site.view();
+            view.peers.is_zone_waiter(now) || view.peers.failing_here(now) == 0
         };
         if is_alone {
             return Duration::ZERO;
@@ -124,7 +124,7 @@
         loop {
             self.site.endpoints_behind.notified().await;
             sleep(time).await;
-            if self.site.known().is_behind_here() {
+            if self.site.view().is_behind_here() {
                 return;
             }
         }
@@ -132,7 +132,7 @@
 
     /// Tells whether another VM has read further.
     pub(crate) fn is_behind(&self) -> bool {
-        self.site.known().is_behind(self.feed)
+        self.site.view().is_behind(self.feed)
     }
 
     pub(crate) fn note_position(&self, next: LogPosition) {
@@ -140,10 +140,10 @@
         if !before.is_start() && next.era() > before.era() {
             self.site.note_return(next.era());
         }
-        let mut known = self.site.known();
+        let mut view = self.site.view();
         match self.feed {
-            Feed::Configuration => known.positions.configuration = next,
-            Feed::Endpoints => known.positions.endpoints = next,
+            Feed::Configuration => view.positions.configuration = next,
+            Feed::Endpoints => view.positions.endpoints = next,
             Feed::Vms => {}
         }
     }
@@ -179,12 +179,12 @@
     /// Asks the VM that has read furthest for what it has read, if it is further than this one.
     pub(crate) async fn fetch_ahead(&self) -> Option<PeerState> {
         let (vm, address) = {
-            let known = self.site.known();
-            let (vm, at) = known.ahead.get(&self.feed)?;
-            if *at <= position(known.positions, self.feed) {
+            let view = self.site.view();
+            let (vm, at) = view.ahead.get(&self.feed)?;
+            if *at <= position(view.positions, self.feed) {
                 return None;
             }
-            (vm.clone(), known.peers.address(vm)?)
+            (vm.clone(), view.peers.address(vm)?)
         };
         let fetched = match self.feed {
             Feed::Configuration => self.states.fetch_configuration(address).await,
@@ -202,7 +202,7 @@
 
     /// Forgets which VM has read furthest: it hands nothing over that is further. Who is ahead says so again.
     pub(crate) fn forget_ahead(&self) {
-        self.site.known().ahead.remove(&self.feed);
+        self.site.view().ahead.remove(&self.feed);
     }
 
     /// Takes in what another VM has read. Gives the new position, if it is further than this VM.
@@ -215,8 +215,8 @@
         self.note_position(at);
         let now = self.site.now();
         if let Some(ages) = ages(state.reading, self.feed) {
-            let mut known = self.site.known();
-            self.site.meet(&mut known, self.feed, ages.told(now), true);
+            let mut view = self.site.view();
+            self.site.meet(&mut view, self.feed, ages.told(now), true);
         }
         let changes: Vec<Change> = match self.feed {
             Feed::Configuration => {
@@ -234,7 +234,7 @@
 
     /// Notes that a read that began at this moment failed.
     pub(crate) fn lose(&mut self, began: Instant, e: &StoreError) {
-        self.site.known().readings.fail(self.feed, began);
+        self.site.view().readings.fail(self.feed, began);
         if self.lost.is_none() {
             tracing::warn!(feed = ?self.feed, error = %e, "store lost");
             self.lost = Some(self.site.now());
@@ -244,11 +244,11 @@
     /// Notes that a read that began at this moment was answered.
     fn regained(&mut self, began: Instant) {
         if self.feed == Feed::Configuration {
-            self.site.known().confirmation.confirm(began);
+            self.site.view().confirmation.confirm(began);
         }
         if let Some(pace) = self.site.settings.load().pace(self.feed) {
-            let mut known = self.site.known();
-            known.readings.read(self.feed, began, pace.longest_gap());
+            let mut view = self.site.view();
+            view.readings.read(self.feed, began, pace.longest_gap());
         }
         if let Some(since) = self.lost.take() {
             let away_ms = self.site.now().saturating_duration_since(since).as_millis();
@@ -275,16 +275,16 @@
                 Change::Endpoint(e) => {
                     seen.insert(e.instance.id.clone());
                     let (instance, leaving) = (e.instance.clone(), e.leaving);
-                    let mut known = self.site.known();
-                    if whole && known.is_from_the_copy(&instance.id, position.era()) {
+                    let mut view = self.site.view();
+                    if whole && view.is_from_the_copy(&instance.id, position.era()) {
                         tracing::info!(%instance, "an entry that was removed before the store's return is in doubt");
-                        known.doubtful.insert(instance.id, e);
+                        view.doubtful.insert(instance.id, e);
                         continue;
                     }
-                    known.doubtful.remove(&instance.id);
-                    known.withheld.remove(&instance.id);
-                    let update = known.list(now, e);
-                    drop(known);
+                    view.doubtful.remove(&instance.id);
+                    view.withheld.remove(&instance.id);
+                    let update = view.list(now, e);
+                    drop(view);
                     self.site.note_restart(&instance, update, "list");
                     if leaving || update.is_news && !whole {
                         tracing::info!(%instance, leaving, ?learnt, %position, "endpoint listed");
@@ -292,17 +292,17 @@
                     news = true;
                 }
                 Change::EndpointGone(instance) => {
-                    self.site.known().doubtful.remove(&instance);
+                    self.site.view().doubtful.remove(&instance);
                     self.vanish(now, &instance);
                     news = true;
                 }
                 Change::Vm(vm) => {
-                    let mut known = self.site.known();
-                    known.learn(&vm);
+                    let mut view = self.site.view();
+                    view.learn(&vm);
                     if whole {
                         vms.push(vm);
                     } else {
-                        known.note_listed(vm);
+                        view.note_listed(vm);
                     }
                 }
                 Change::Evacuation { zone, begins } => {
@@ -322,18 +322,18 @@
             self.site.retain_evacuated(&evacuated);
         }
         if whole && self.feed == Feed::Vms {
-            let mut known = self.site.known();
-            known.has_vms = true;
-            known.note_vms(now, 0);
-            if known.note_all_listed(vms) {
+            let mut view = self.site.view();
+            view.has_vms = true;
+            view.note_vms(now, 0);
+            if view.note_all_listed(vms) {
                 self.site.vm_unlisted.notify_one();
             }
         }
         if whole && self.feed == Feed::Endpoints {
             tracing::info!(endpoints = seen.len(), ?learnt, %position, "the whole list");
-            self.site.known().roster.retain_unreadable(&seen);
-            let known = ids(&self.site.known().roster);
-            for id in known.difference(&seen) {
+            self.site.view().roster.retain_unreadable(&seen);
+            let listed = ids(&self.site.view().roster);
+            for id in listed.difference(&seen) {
                 self.vanish(now, id);
             }
         }
@@ -344,7 +344,7 @@
 
     /// Says that endpoints have changed, to requests that wait and to who reads the metrics.
     fn tell_change(&self) {
-        let n = self.site.known().roster.len();
+        let n = self.site.view().roster.len();
         let n = i64::try_from(n).unwrap_or(i64::MAX);
         self.site.metrics.endpoints.set(n);
         self.site.changed.notify_waiters();
@@ -356,9 +356,9 @@
     /// removal of an endpoint was held back for 3.4 s with 8 VMs and 13 s with 150, on a bound of 2 s and 4 s
     /// (`tests/departures.rs`).
     pub(crate) fn settled_at(&self) -> Option<Instant> {
-        let known = self.site.known();
-        let freshness = known.readings.freshness(self.feed)?;
-        let returned = known.returned.map(|r| r.at);
+        let view = self.site.view();
+        let freshness = view.readings.freshness(self.feed)?;
+        let returned = view.returned.map(|r| r.at);
         // An absence of a moment may lie between two calls; only the era shows it then.
         let sound_since =
             returned.map_or(freshness.sound_since(), |t| t.max(freshness.sound_since()));
@@ -367,8 +367,8 @@
 
     /// Gives until when entries are in doubt that were removed before the store's return.
     pub(crate) fn doubted_until(&self) -> Option<Instant> {
-        let known = self.site.known();
-        Some(known.returned.filter(|_| !known.doubtful.is_empty())?.at + DOUBT)
+        let view = self.site.view();
+        Some(view.returned.filter(|_| !view.doubtful.is_empty())?.at + DOUBT)
     }
 
     /// Takes in the entries that were in doubt for long enough: they would be gone by now if nobody wrote them.
@@ -376,7 +376,7 @@
         if self.doubted_until().is_none_or(|t| self.site.now() < t) {
             return;
         }
-        let due = std::mem::take(&mut self.site.known().doubtful);
+        let due = std::mem::take(&mut self.site.view().doubtful);
         let changes = due.into_values().map(Change::Endpoint).collect();
         self.apply(Learnt::Store, changes, false);
     }
@@ -384,11 +384,11 @@
     /// Notes a record that can't be read. An entry of the list takes its endpoint out of use; a line says so once, and
     /// as many in all as lines on requests are allowed.
     fn note_unreadable(&self, key: &SmolStr, why: &str) {
-        let mut known = self.site.known();
+        let mut view = self.site.view();
         let is_entry = self.feed == Feed::Endpoints;
-        let is_known = is_entry && known.roster.unreadable().any(|id| id == key);
-        let was_in_use = is_entry && known.set_unreadable(key);
-        drop(known);
+        let is_known = is_entry && view.roster.unreadable().any(|id| id == key);
+        let was_in_use = is_entry && view.set_unreadable(key);
+        drop(view);
         if is_known {
             return;
         }
@@ -402,7 +402,7 @@
         match self.settled_at().filter(|t| now < *t) {
             Some(due) => {
                 let held_ms = due.duration_since(now).as_millis();
-                if self.site.known().withheld.insert(id.clone()) {
+                if self.site.view().withheld.insert(id.clone()) {
                     tracing::info!(instance = %id, held_ms, "a removal is held back");
                 }
             }
@@ -421,10 +421,10 @@
     /// Drops what was held back, once nothing can come back any more.
     pub(crate) fn drop_withheld(&mut self) {
         let is_settled = self.settled_at().is_none_or(|t| self.site.now() >= t);
-        if !is_settled || self.site.known().withheld.is_empty() {
+        if !is_settled || self.site.view().withheld.is_empty() {
             return;
         }
-        let due = std::mem::take(&mut self.site.known().withheld);
+        let due = std::mem::take(&mut self.site.view().withheld);
         for id in &due {
             self.drop_endpoint(id);
         }
@@ -433,7 +433,7 @@
 
     fn drop_endpoint(&self, id: &SmolStr) {
         let now = self.site.now();
-        if self.site.known().drop_endpoint(now, id) {
+        if self.site.view().drop_endpoint(now, id) {
             tracing::info!(instance = %id, "endpoint is off the list");
         }
     }
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -5,7 +5,6 @@
 //! it did. A lost datagram is made good by the next ([`limehollow::peers`], `docs/design/system.md`).
 
 use crate::edge::{Feed, Protocol};
-use crate::known::Known;
 use crate::logbook;
 use crate::metrics::{By, Metrics};
 use crate::question;
@@ -13,6 +12,7 @@
 use crate::sender::GONE_SAID_FOR;
 pub use crate::sender::{Outgoing, Sender};
 use crate::site::Site;
+use crate::site_view::SiteView;
 use crate::traffic::{self, Way};
 use limehollow::balance::MESSAGE_LIFE;
 use limehollow::send_budget::{SendBudget, Urgency};
@@ -198,13 +198,13 @@
 }
 
 /// Notes how old the copies of the feeds are that have a bound.
-fn note_ages(now: Instant, known: &Known, metrics: &Metrics) {
+fn note_ages(now: Instant, view: &SiteView, metrics: &Metrics) {
     let feeds = [
         (Feed::Configuration, "configuration"),
         (Feed::Endpoints, "endpoints"),
     ];
     for (feed, what) in feeds {
-        if let Some(f) = known.readings.freshness(feed) {
+        if let Some(f) = view.readings.freshness(feed) {
             let age = f.age(now).as_secs_f64();
             metrics.copy_age.get_or_create(&By { what }).observe(age);
         }
@@ -212,11 +212,11 @@
 }
 
 /// Forgets requests under which endpoints crashed too long ago, also where that is kept outside this process.
-fn forget_crashes(now: Instant, known: &mut Known) {
-    for request in known.quarantine.sweep(now) {
+fn forget_crashes(now: Instant, view: &mut SiteView) {
+    for request in view.quarantine.sweep(now) {
         tracing::info!(%request, "a quarantined request is forgotten");
-        if known.peers.is_zone_leader(now) {
-            known.quarantine.save(request);
+        if view.peers.is_zone_leader(now) {
+            view.quarantine.save(request);
         }
     }
 }
@@ -231,35 +231,32 @@
         ticks.tick().await;
         let now = site.now();
         {
-            let mut known = site.known();
-            let known: &mut Known = &mut known;
-            known.balance.refresh(now);
-            forget_crashes(now, known);
-            known.warm_up(now);
-            known.drop_limits();
-            known.forget_removals(now);
-            known.note_vms(now, 0);
+            let mut view = site.view();
+            let view: &mut SiteView = &mut view;
+            view.balance.refresh(now);
+            forget_crashes(now, view);
+            view.warm_up(now);
+            view.drop_limits();
+            view.forget_removals(now);
+            view.note_vms(now, 0);
             let settings = site.settings.load();
-            known.quotas.set_allowance(now, settings.quota_allowance());
-            known.quotas.set_cold_allowance(settings.cold_allowance());
-            note_ages(now, known, &site.metrics);
-            if known.roster.settle(now) {
+            view.quotas.set_allowance(now, settings.quota_allowance());
+            view.quotas.set_cold_allowance(settings.cold_allowance());
+            note_ages(now, view, &site.metrics);
+            if view.roster.settle(now) {
                 site.changed.notify_waiters();
             }
-            known
-                .demand
+            view.demand
                 .retain(|_, (at, _)| now.duration_since(*at) < DEMAND_LIFE);
-            known
-                .taken
+            view.taken
                 .retain(|_, (at, _)| now.duration_since(*at) < MESSAGE_LIFE);
-            known
-                .wanted
+            view.wanted
                 .retain(|_, at| now.duration_since(*at) < WANT_LIFE);
-            for said in [&mut known.gone, &mut known.leaving] {
+            for said in [&mut view.gone, &mut view.leaving] {
                 said.retain(|_, at| now.duration_since(*at) < GONE_SAID_FOR);
             }
-            let is_there = |k| known.roster.get(k).is_some();
-            known.crash_watch.sweep(now);
+            let is_there = |k| view.roster.get(k).is_some();
+            view.crash_watch.sweep(now);
             site.pool.sweep(is_there);
             site.control_pool.sweep(is_there);
         }
--- a/crates/limehollow-node/src/hearing.rs
+++ b/crates/limehollow-node/src/hearing.rs
@@ -21,20 +21,20 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
-    if known.roster.get(to.key).is_none() {
+    let mut view = site.view();
+    if view.roster.get(to.key).is_none() {
         // Its start is gone, and with it all that was believed of it.
         return;
     }
-    let heard = known.balance.backpressure.hear(now, to.key, asked, s);
+    let heard = view.balance.backpressure.hear(now, to.key, asked, s);
     if heard.rate != RateChange::Unchanged {
-        known.set_limit(now, to.key);
+        view.set_limit(now, to.key);
     }
     if let Some(left) = s.cold {
-        known.note_cold(now, to.key, left);
+        view.note_cold(now, to.key, left);
     }
-    let leaves = s.leaving && known.note_leaving(now, &to.instance);
-    drop(known);
+    let leaves = s.leaving && view.note_leaving(now, &to.instance);
+    drop(view);
     log_rate(&to.instance, heard.rate, "the endpoint");
     if let Some(rest) = heard.rest {
         site.metrics.rests.inc();
@@ -53,15 +53,15 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
+    let mut view = site.view();
     for r in rates {
-        let Some(key) = known.roster.find(&r.instance) else {
+        let Some(key) = view.roster.find(&r.instance) else {
             continue;
         };
         let word = r.told(now, MOST_ON_THE_WAY);
-        let change = known.balance.backpressure.join(now, key, word);
+        let change = view.balance.backpressure.join(now, key, word);
         if change != RateChange::Unchanged {
-            known.set_limit(now, key);
+            view.set_limit(now, key);
         }
         log_rate(&r.instance, change, by);
     }
@@ -74,7 +74,7 @@
 {
     let now = site.now();
     for instance in leaving {
-        let is_news = site.known().note_leaving(now, instance);
+        let is_news = site.view().note_leaving(now, instance);
         if is_news {
             note_leaving(site, instance, by);
         }
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -65,7 +65,7 @@
     match found {
         Some(p) => Ok(Some(p)),
         // Another VM has read further: the key may be a new one.
-        None if site.known().is_behind(Feed::Configuration) => Err(Denied::Unconfirmed),
+        None if site.view().is_behind(Feed::Configuration) => Err(Denied::Unconfirmed),
         None => Err(Denied::Unknown),
     }
 }
@@ -94,14 +94,14 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    let age = known.confirmation.age(site.now());
+    let view = site.view();
+    let age = view.confirmation.age(site.now());
     // Rounded up, so that nobody takes it for fresher than it is.
     let ms = |d: Duration| u32::try_from(d.as_millis() + 1).unwrap_or(u32::MAX);
     Reply::Configuration {
-        position: known.positions.configuration,
+        position: view.positions.configuration,
         confirmed_ms: age.map(ms),
-        vms_known: u16::try_from(known.quotas.vms()).unwrap_or(u16::MAX),
+        vms_known: u16::try_from(view.quotas.vms()).unwrap_or(u16::MAX),
     }
 }
 
@@ -139,7 +139,7 @@
 where
     P: Protocol,
 {
-    let age = site.known().confirmation.age(site.now());
+    let age = site.view().confirmation.age(site.now());
     age.is_some_and(|a| a < step.mul_f64(1.5))
 }
 
@@ -151,14 +151,14 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    let here = known.peers.zone_reader(site.now());
-    let last = known.confirmation.reader().map(|(vm, _)| vm);
+    let view = site.view();
+    let here = view.peers.zone_reader(site.now());
+    let last = view.confirmation.reader().map(|(vm, _)| vm);
     let last = last.filter(|vm| here != Some(vm));
     let mut named = here.into_iter().chain(last);
     match named.nth(asked) {
-        Some(name) => known.peers.address(name),
-        None => known.peers.any(rand::random::<u32>() as usize),
+        Some(name) => view.peers.address(name),
+        None => view.peers.any(rand::random::<u32>() as usize),
     }
 }
 
@@ -179,12 +179,12 @@
     else {
         return;
     };
-    let mut known = site.known();
-    known.note_vms(site.now(), usize::from(vms_known));
-    let mine = known.positions.configuration;
+    let mut view = site.view();
+    view.note_vms(site.now(), usize::from(vms_known));
+    let mine = view.positions.configuration;
     let at = confirmed_ms.and_then(|ms| confirmed_at(asked, ms));
     if let Some(at) = at.filter(|_| !mine.is_start() && mine.holds(position)) {
-        known.confirmation.confirm(at);
+        view.confirmation.confirm(at);
     }
 }
 
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -56,7 +56,7 @@
         if stopping {
             resign(&site, &lease, sent);
             // Another of the zone may take its place among the candidates.
-            site.known().lease_failing = true;
+            site.view().lease_failing = true;
         }
         if with_lease(&lease, |l| l.has_lapsed(sent)) {
             waits = failing && is_store_away(&site, sent);
@@ -80,7 +80,7 @@
         }
         if !stands {
             failing = false;
-            site.known().lease_failing = false;
+            site.view().lease_failing = false;
             pause(&site, sent, &mut stop).await;
             continue;
         }
@@ -98,7 +98,7 @@
                 failing = true;
             }
         }
-        site.known().lease_failing = failing;
+        site.view().lease_failing = failing;
         pause(&site, sent, &mut stop).await;
     }
 }
@@ -109,16 +109,13 @@
 where
     P: Protocol,
 {
-    let known = site.known();
+    let view = site.view();
     if joined {
-        let holder = known.candidacy.holder(now);
+        let holder = view.candidacy.holder(now);
         return holder.is_none_or(|h| *h == site.me.as_str());
     }
-    let rank = known
-        .peers
-        .candidate_rank(now)
-        .filter(|_| !known.is_starting);
-    rank.is_some_and(|r| known.candidacy.stands(now, r))
+    let rank = view.peers.candidate_rank(now).filter(|_| !view.is_starting);
+    rank.is_some_and(|r| view.candidacy.stands(now, r))
 }
 
 /// Takes in the platform's answer, and what this VM says of the lease from now on.
@@ -127,26 +124,26 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
-    let known = &mut *known;
+    let mut view = site.view();
+    let view = &mut *view;
     with_lease(lease, |l| {
         match l.dealt(sent, now, dealt) {
             Some(LeaseChange::Taken(fence)) => {
-                let before = known.candidacy.predecessor(now, fence);
+                let before = view.candidacy.predecessor(now, fence);
                 l.follows(before);
                 tracing::info!(fence, ?before, "lease taken");
             }
             Some(LeaseChange::Resumed(fence)) => tracing::info!(fence, "lease resumed"),
             Some(LeaseChange::Lost) => {
-                known.lease_notice = None;
+                view.lease_notice = None;
                 tracing::info!(term = ?dealt.term, "lease lost");
             }
             None => {}
         }
         if l.is_held() {
             let notice = notice(site, l, true);
-            known.candidacy.hear(now, notice.clone());
-            known.lease_notice = Some((notice, sent + TTL));
+            view.candidacy.hear(now, notice.clone());
+            view.lease_notice = Some((notice, sent + TTL));
         }
         site.metrics.holds_lease.set(i64::from(l.is_held()));
     });
@@ -157,10 +154,10 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    let others = known.peers.alive_here(now) - 1;
-    let none_reads = others > 0 && known.peers.failing_here(now) == others;
-    none_reads && known.readings.is_failing(Feed::Endpoints)
+    let view = site.view();
+    let others = view.peers.alive_here(now) - 1;
+    let none_reads = others > 0 && view.peers.failing_here(now) == others;
+    none_reads && view.readings.is_failing(Feed::Endpoints)
 }
 
 /// Has the other VMs take this one for the holder as long as the store is away, so that they don't join: each that does changes
@@ -170,9 +167,9 @@
     P: Protocol,
 {
     let notice = with_lease(lease, |l| notice(site, l, true));
-    let mut known = site.known();
-    known.candidacy.hear(now, notice.clone());
-    known.lease_notice = Some((notice, now + TTL));
+    let mut view = site.view();
+    view.candidacy.hear(now, notice.clone());
+    view.lease_notice = Some((notice, now + TTL));
 }
 
 /// Gives the lease up because it may have passed on, and listens for who holds it. Where the store is away for all, it may
@@ -188,9 +185,9 @@
             l.drop_it();
         }
     });
-    let mut known = site.known();
-    known.candidacy.listen(now);
-    known.lease_notice = None;
+    let mut view = site.view();
+    view.candidacy.listen(now);
+    view.lease_notice = None;
     site.metrics.holds_lease.set(0);
     tracing::info!(is_store_away, "lease lapsed");
 }
@@ -200,12 +197,12 @@
 where
     P: Protocol,
 {
-    let mut known = site.known();
+    let mut view = site.view();
     with_lease(lease, |l| {
         if l.is_held() {
             let notice = notice(site, l, false);
-            known.candidacy.hear(now, notice.clone());
-            known.lease_notice = Some((notice, now + RESIGNED_FOR));
+            view.candidacy.hear(now, notice.clone());
+            view.lease_notice = Some((notice, now + RESIGNED_FOR));
             site.urgent.notify_one();
         }
         l.drop_it();
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -17,7 +17,7 @@
 //!   what one has read that another can't.
 //! * [`controller`] moves models and adapters while this VM holds the lease; [`outbox`] has what it then tells.
 //! * [`counted`] and [`traffic`] count what the store and the other VMs are asked and told.
-//! * [`site`] is the state that they share, [`known`] what is known in it, [`clock`] the time, [`operator`] what operators can tell;
+//! * [`site`] is the state that they share, [`site_view`] what is known in it, [`clock`] the time, [`operator`] what operators can tell;
 //!   [`run`] puts all together.
 //!
 //! The design and what was weighed are in `docs/design/system.md`.
@@ -36,7 +36,6 @@
 pub mod gossip;
 pub mod hearing;
 pub mod keys;
-pub mod known;
 pub mod lease;
 pub mod limits;
 mod list;
@@ -61,6 +60,7 @@
 pub mod settings;
 mod silence;
 pub mod site;
+pub mod site_view;
 mod small_server;
 pub mod start;
 pub mod traffic;
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -48,7 +48,7 @@
 where
     P: Protocol,
 {
-    if site.known().quotas.take(site.now(), subject, tokens) {
+    if site.view().quotas.take(site.now(), subject, tokens) {
         return Wish::Granted;
     }
     for keeper in keepers(site, subject) {
@@ -82,10 +82,10 @@
     P: Protocol,
 {
     let now = site.now();
-    let known = site.known();
+    let view = site.view();
     let (duty, _) = duty(subject);
-    let silent = |a: &SocketAddr| known.silences.contains(now, duty, *a);
-    let all = known.peers.keepers(now, subject.name()).into_iter();
+    let silent = |a: &SocketAddr| view.silences.contains(now, duty, *a);
+    let all = view.peers.keepers(now, subject.name()).into_iter();
     let speaking = all.filter(|k| !k.as_ref().is_some_and(silent));
     speaking.take(MOST_ASKED).collect()
 }
@@ -113,7 +113,7 @@
         }
     }
     let now = site.now();
-    site.known().silences.note(now, duty, to, SILENT_FOR);
+    site.view().silences.note(now, duty, to, SILENT_FOR);
     None
 }
 
@@ -122,21 +122,21 @@
 where
     P: Protocol,
 {
-    let mut known = site.known();
-    if !known.quotas.is_limited(subject) {
+    let mut view = site.view();
+    if !view.quotas.is_limited(subject) {
         // The limit is new, and this VM hasn't heard of it, or it has ended and the one that asks hasn't.
         return Reply::Short(millis(NO_KEEPER));
     }
     let now = site.now();
-    if !is_keeper(&known.peers, now, subject) {
-        let granted = known.quotas.take(now, subject, tokens);
+    if !is_keeper(&view.peers, now, subject) {
+        let granted = view.quotas.take(now, subject, tokens);
         return if granted {
             Reply::Granted
         } else {
             Reply::NotKeeper
         };
     }
-    match known.quotas.grant(now, subject, tokens) {
+    match view.quotas.grant(now, subject, tokens) {
         Grant::Granted => Reply::Granted,
         Grant::Short(wait) => Reply::Short(millis(wait)),
     }
@@ -157,11 +157,11 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
-    known.note_vms(now, vms_known);
+    let mut view = site.view();
+    view.note_vms(now, vms_known);
     let handed = subjects
         .iter()
-        .map(|s| known.quotas.hand_over(now, s, keeper));
+        .map(|s| view.quotas.hand_over(now, s, keeper));
     Reply::Earnings(handed.collect())
 }
 
@@ -197,22 +197,22 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
-    let known = &mut *known;
-    known.quotas.begin_round(now);
-    let all = known.quotas.subjects();
-    let is_mine = |s: &&Subject| is_keeper(&known.peers, now, s);
+    let mut view = site.view();
+    let view = &mut *view;
+    view.quotas.begin_round(now);
+    let all = view.quotas.subjects();
+    let is_mine = |s: &&Subject| is_keeper(&view.peers, now, s);
     let mine: Arc<[Subject]> = all.filter(is_mine).cloned().collect();
     let me = SmolStr::new(site.me.as_str());
     for s in mine.iter() {
-        if let Some(tokens) = known.quotas.hand_over(now, s, &me) {
-            known.quotas.collect(now, s, tokens);
+        if let Some(tokens) = view.quotas.hand_over(now, s, &me) {
+            view.quotas.collect(now, s, tokens);
         }
     }
     let others = if mine.is_empty() {
         Vec::new()
     } else {
-        known.peers.addresses()
+        view.peers.addresses()
     };
     (mine, others)
 }
@@ -223,7 +223,7 @@
 {
     let about = About::Earnings {
         keeper: SmolStr::new(site.me.as_str()),
-        vms_known: u16::try_from(site.known().quotas.vms()).unwrap_or(u16::MAX),
+        vms_known: u16::try_from(site.view().quotas.vms()).unwrap_or(u16::MAX),
         subjects: subjects.to_vec(),
     };
     let reply = site
@@ -234,10 +234,10 @@
         return;
     };
     let now = site.now();
-    let mut known = site.known();
+    let mut view = site.view();
     for (s, tokens) in subjects.iter().zip(handed) {
         if let Some(tokens) = tokens {
-            known.quotas.collect(now, s, tokens);
+            view.quotas.collect(now, s, tokens);
         }
     }
 }
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -147,19 +147,18 @@
     /// Gives when the store is to be read.
     fn due(&self) -> Instant {
         let patience = self.f.patience(self.luck);
-        let known = self.f.site.known();
-        let (Some(began), Some(freshness)) =
-            (self.began, known.readings.freshness(Feed::Endpoints))
+        let view = self.f.site.view();
+        let (Some(began), Some(freshness)) = (self.began, view.readings.freshness(Feed::Endpoints))
         else {
             return self.retry_at;
         };
         let pace = self.pace();
-        let due = if known.peers.is_zone_reader(self.f.site.now()) {
+        let due = if view.peers.is_zone_reader(self.f.site.now()) {
             began + pace.every()
         } else {
             freshness.complete_at() + pace.stale_after(self.luck) + patience
         };
-        let expected = known.peers.reader_expected(self.f.site.now());
+        let expected = view.peers.reader_expected(self.f.site.now());
         due.max(self.retry_at).max(expected.unwrap_or(due))
     }
 
@@ -173,7 +172,7 @@
     }
 
     fn settled_at(&self) -> Option<Instant> {
-        let holds_back = !self.f.site.known().withheld.is_empty();
+        let holds_back = !self.f.site.view().withheld.is_empty();
         holds_back.then(|| self.f.settled_at()).flatten()
     }
 
@@ -221,7 +220,7 @@
 
     /// Gets the state of a VM that is ahead, where others read for this VM. Gives whether it did.
     async fn catch_up(&mut self) -> bool {
-        let reads_for_others = self.f.site.known().peers.is_zone_reader(self.f.site.now());
+        let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
         if reads_for_others || !self.f.is_behind() {
             return false;
         }
@@ -245,7 +244,7 @@
     /// Tells whether this VM finds out for its zone when the store is back.
     fn seeks_return(&self) -> bool {
         let now = self.f.site.now();
-        self.failures > 0 && self.f.site.known().peers.is_zone_leader(now)
+        self.failures > 0 && self.f.site.view().peers.is_zone_leader(now)
     }
 
     /// Gives how long to wait after failures.
@@ -267,7 +266,7 @@
         self.retry_at = began;
         self.pass_on(from, &read);
         self.next = Some(self.f.take_answer(began, read, from.is_none()));
-        let reads_for_others = self.f.site.known().peers.is_zone_reader(self.f.site.now());
+        let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
         if !reads_for_others {
             // The zone's reader was late: the others needn't read as well.
             self.f.site.urgent.notify_one();
@@ -303,7 +302,7 @@
             return;
         };
         let parts = parts(from, read);
-        let reads_for_others = self.f.site.known().peers.is_zone_reader(self.f.site.now());
+        let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
         // Of those that read because they heard nothing, each may have read the same.
         let most = if reads_for_others { MAX_PARTS } else { 1 };
         if parts.is_empty() || parts.len() > most {
@@ -311,7 +310,7 @@
         }
         let now = self.f.site.now();
         let parts = parts.into_iter().map(|p| (now, p));
-        self.f.site.known().list_news.extend(parts);
+        self.f.site.view().list_news.extend(parts);
         self.f.site.urgent.notify_one();
     }
 }
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -381,7 +381,7 @@
         };
         let now = self.site.now();
         self.site.report(now, &r);
-        self.site.known().reports.add(r);
+        self.site.view().reports.add(r);
         self.site.urgent.notify_one();
     }
 
--- a/crates/limehollow-node/src/peer_state.rs
+++ b/crates/limehollow-node/src/peer_state.rs
@@ -63,7 +63,7 @@
         CONFIGURATION => encode_state(&site.configuration()),
         MEMBERS => encode_members(&start::members(site)),
         CRASHES => {
-            let records = site.known().quarantine.records(site.now());
+            let records = site.view().quarantine.records(site.now());
             encode_crashes(&records)
         }
         _ => encode_state(&site.state()),
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -9,10 +9,10 @@
 //! (`docs/design/shifted-work.md`).
 
 use crate::edge::Protocol;
-use crate::known::Known;
 use crate::settings::ChoicePolicy;
 use crate::silence::Duty;
 use crate::site::Site;
+use crate::site_view::SiteView;
 use limehollow::balance::{Bounds, Choice};
 use limehollow::catalog::Catalog;
 use limehollow::id::EndpointKey;
@@ -53,7 +53,7 @@
         }
         Chooser::Alone => {}
     }
-    choose_here(site.now(), &site.known(), catalog, job, tried)
+    choose_here(site.now(), &site.view(), catalog, job, tried)
 }
 
 /// Looks where a job could go by what this VM knows, without a choice.
@@ -61,19 +61,19 @@
 where
     P: Protocol,
 {
-    choose_here(site.now(), &site.known(), catalog, job, &[])
+    choose_here(site.now(), &site.view(), catalog, job, &[])
 }
 
 /// Chooses by what this VM knows.
 fn choose_here(
     now: Instant,
-    known: &Known,
+    view: &SiteView,
     catalog: &Catalog,
     job: &Job,
     tried: &[EndpointKey],
 ) -> Choice {
     let bounds = bounds(catalog, job);
-    known.balance.choose(now, &known.roster, bounds, job, tried)
+    view.balance.choose(now, &view.roster, bounds, job, tried)
 }
 
 /// Who says where a request goes.
@@ -99,10 +99,10 @@
         return Chooser::Alone;
     }
     let now = site.now();
-    let known = site.known();
-    match known.peers.keepers(now, &m.model).first() {
+    let view = site.view();
+    match view.peers.keepers(now, &m.model).first() {
         Some(None) => Chooser::Keeper,
-        Some(Some(a)) if !known.silences.contains(now, Duty::Places, *a) => Chooser::Other(*a),
+        Some(Some(a)) if !view.silences.contains(now, Duty::Places, *a) => Chooser::Other(*a),
         _ => Chooser::Alone,
     }
 }
@@ -122,19 +122,19 @@
         .await;
     let Some(Reply::Place(place)) = reply else {
         let now = site.now();
-        let mut known = site.known();
-        known.silences.note(now, Duty::Places, to, SILENT_FOR);
+        let mut view = site.view();
+        view.silences.note(now, Duty::Places, to, SILENT_FOR);
         return None;
     };
     match place {
         Place::At(instance, expected_ms) => {
-            let known = site.known();
-            let key = known.roster.find(&instance)?;
-            let is_usable = |e: &&Endpoint| known.roster.takes_work(key) && job.may_run_in(&e.zone);
-            let e = known.roster.get(key).filter(is_usable)?;
+            let view = site.view();
+            let key = view.roster.find(&instance)?;
+            let is_usable = |e: &&Endpoint| view.roster.takes_work(key) && job.may_run_in(&e.zone);
+            let e = view.roster.get(key).filter(is_usable)?;
             let now = site.now();
-            let is_closed = known.balance.backpressure.opens_in(now, key).is_some();
-            let takes = known.balance.takes(now, key, e) && !is_closed;
+            let is_closed = view.balance.backpressure.opens_in(now, key).is_some();
+            let takes = view.balance.takes(now, key, e) && !is_closed;
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
         Place::Crowded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
@@ -149,10 +149,10 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    let tried = tried.iter().filter_map(|k| known.roster.get(*k));
-    let closed = known.balance.backpressure.closed(site.now());
-    let closed = closed.filter_map(|k| known.roster.get(k));
+    let view = site.view();
+    let tried = tried.iter().filter_map(|k| view.roster.get(*k));
+    let closed = view.balance.backpressure.closed(site.now());
+    let closed = closed.filter_map(|k| view.roster.get(k));
     let closed = closed.filter(|e| e.service == job.service);
     let all: Vec<Instance> = tried.chain(closed).map(|e| e.instance.clone()).collect();
     (all.len() <= MOST_NAMED).then_some(all)
@@ -164,10 +164,10 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
-    let choice = choose_here(now, &known, catalog, job, tried);
+    let mut view = site.view();
+    let choice = choose_here(now, &view, catalog, job, tried);
     if let Choice::To(key, _) = choice {
-        known.balance.promise(now, key, job);
+        view.balance.promise(now, key, job);
     }
     choice
 }
@@ -181,14 +181,14 @@
         return Reply::Place(Place::Nowhere);
     };
     let tried: Vec<EndpointKey> = {
-        let known = site.known();
-        tried.iter().filter_map(|i| known.roster.find(i)).collect()
+        let view = site.view();
+        tried.iter().filter_map(|i| view.roster.find(i)).collect()
     };
     #[expect(clippy::cast_possible_truncation, reason = "rounding is harmless")]
     let place = match promise(site, &catalog, job, &tried) {
         Choice::To(key, expected_ms) => {
-            let known = site.known();
-            let e = known.roster.get(key);
+            let view = site.view();
+            let e = view.roster.get(key);
             e.map_or(Place::Nowhere, |e| {
                 Place::At(e.instance.clone(), expected_ms as f32)
             })
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -56,13 +56,13 @@
 where
     P: Protocol,
 {
-    let neighbours = site.known().peers.neighbours().len();
+    let neighbours = site.view().peers.neighbours().len();
     let differs_for = pace(neighbours)
         .mul_f64(DIFFERS_FOR_MESSAGES)
         .min(DIFFERS_FOR);
     loop {
         sleep(differs_for.mul_f64(1.0 + rand::random::<f64>())).await;
-        let rests = site.known().quarantine.unchanged_for(site.now());
+        let rests = site.view().quarantine.unchanged_for(site.now());
         if rests.is_none_or(|t| t >= RESTS_FOR) {
             return;
         }
@@ -80,7 +80,7 @@
             take_in(site, vm, &records);
             // Not what it said before: it may have started again since, and know nothing.
             let answered = digest(site.now(), &records);
-            site.known().quarantine.note_contained(answered);
+            site.view().quarantine.note_contained(answered);
             u32::try_from(records.len()).unwrap_or(u32::MAX)
         }
         Err(why) => {
@@ -104,8 +104,8 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    known.quarantine.unchanged_for(site.now()).is_none()
+    let view = site.view();
+    view.quarantine.unchanged_for(site.now()).is_none()
 }
 
 /// What another VM said last of the records that it has.
@@ -125,13 +125,13 @@
     P: Protocol,
 {
     let now = site.now();
-    let known = site.known();
-    let heard = known.quarantines.iter();
+    let view = site.view();
+    let heard = view.quarantines.iter();
     let heard = heard.filter(|(_, s)| now.duration_since(s.at) < MESSAGE_LIFE);
-    let unchanged = known.quarantine.unchanged_for(now);
+    let unchanged = view.quarantine.unchanged_for(now);
     let is_new = |s: &Said| unchanged.is_none_or(|t| now.duration_since(s.at) < t);
     let others: Vec<_> = heard
-        .filter(|(_, s)| is_new(s) && !known.quarantine.contains(s.digest))
+        .filter(|(_, s)| is_new(s) && !view.quarantine.contains(s.digest))
         .collect();
     let at = rand::random_range(0..others.len().max(1));
     let (vm, said) = others.get(at)?;
@@ -143,10 +143,10 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
+    let mut view = site.view();
     let mut is_news = false;
     for r in records {
-        is_news |= known.merge_crashes(now, by, r);
+        is_news |= view.merge_crashes(now, by, r);
     }
     is_news
 }
@@ -158,12 +158,12 @@
     P: Protocol,
     S: Store,
 {
-    if !site.known().is_given {
+    if !site.view().is_given {
         read(&site, &store).await;
     }
     loop {
         let unsaved = site.quarantine_unsaved.notified();
-        let next = site.known().quarantine.unsaved();
+        let next = site.view().quarantine.unsaved();
         match next {
             Some(request) => save(&site, &store, request).await,
             None => {
@@ -182,8 +182,8 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    known.peers.known() > 1 && known.peers.alive(site.now()) == 1
+    let view = site.view();
+    view.peers.known() > 1 && view.peers.alive(site.now()) == 1
 }
 
 async fn read<P, S>(site: &Site<P>, store: &S)
@@ -224,10 +224,10 @@
     P: Protocol,
     S: Store,
 {
-    let record = site.known().quarantine.record(site.now(), request);
+    let record = site.view().quarantine.record(site.now(), request);
     let record = record.filter(|r| !r.crashes.is_empty());
     match store.keep_crash_record(request, record.as_ref()).await {
-        Ok(()) => site.known().quarantine.note_saved(request),
+        Ok(()) => site.view().quarantine.note_saved(request),
         Err(e) => {
             tracing::info!(%request, error = %e, "a quarantined request can't be kept yet");
             sleep(FIRST_PAUSE).await;
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -22,7 +22,7 @@
     take_in_crashes(site, &mut w);
     let says_nothing = w.scope == Scope::News && w.reports.is_empty() && w.crashes.is_empty();
     let passes_on = is_forwarded && !says_nothing && is_due(site, &w);
-    let on = passes_on.then(|| (w.clone(), site.known().peers.listeners(site.now())));
+    let on = passes_on.then(|| (w.clone(), site.view().peers.listeners(site.now())));
     take_in(site, w);
     on
 }
@@ -37,9 +37,9 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
+    let mut view = site.view();
     let from = w.from.clone();
-    w.crashes.retain(|r| known.merge_crashes(now, &from, r));
+    w.crashes.retain(|r| view.merge_crashes(now, &from, r));
     let is_news = !w.crashes.is_empty();
     // Who only has news to tell is not heard again: what it knew in the middle of a burst would stand for long.
     if w.scope != Scope::News
@@ -50,12 +50,12 @@
             digest: w.crashes_digest,
             address,
         };
-        known.quarantines.insert(w.from.clone(), said);
-        if !known.quarantine.contains(w.crashes_digest) {
+        view.quarantines.insert(w.from.clone(), said);
+        if !view.quarantine.contains(w.crashes_digest) {
             site.quarantine_differs.notify_one();
         }
     }
-    drop(known);
+    drop(view);
     if is_news {
         site.quarantine_unsaved.notify_one();
     }
@@ -71,13 +71,13 @@
         return true;
     }
     let now = site.now();
-    let mut known = site.known();
-    let pace = pace_of_sums(known.peers.neighbours().len());
-    let last = known.passed_on.get(&(w.zone.clone(), w.part));
+    let mut view = site.view();
+    let pace = pace_of_sums(view.peers.neighbours().len());
+    let last = view.passed_on.get(&(w.zone.clone(), w.part));
     if last.is_some_and(|t| now.duration_since(*t) < pace) {
         return false;
     }
-    known.passed_on.insert((w.zone.clone(), w.part), now);
+    view.passed_on.insert((w.zone.clone(), w.part), now);
     true
 }
 
@@ -88,66 +88,65 @@
     let now = site.now();
     let zone = ZoneName::from(w.zone.as_str());
     {
-        let mut known = site.known();
-        let known = &mut *known;
+        let mut view = site.view();
+        let view = &mut *view;
         if let Ok(address) = w.address.parse()
-            && known
+            && view
                 .peers
                 .learn(w.from.clone(), zone.clone(), address, w.millicores)
         {
             tracing::info!(vm = %w.from, %address, "a VM was heard of first from itself");
         }
-        known.note_vms(now, usize::from(w.vms_known));
+        view.note_vms(now, usize::from(w.vms_known));
         if let Some(r) = w.last_reader.filter(|r| r.vm != site.me.as_str()) {
-            known.confirmation.note_reader(&r.vm, r.told(now));
+            view.confirmation.note_reader(&r.vm, r.told(now));
         }
-        let key = |(i, t): &(Instance, Taken)| Some((known.roster.find(i)?, *t));
+        let key = |(i, t): &(Instance, Taken)| Some((view.roster.find(i)?, *t));
         let taken: Vec<(EndpointKey, Taken)> = w.taken.iter().filter_map(key).collect();
         for instance in &w.gone {
-            if known.note_gone(now, instance) {
+            if view.note_gone(now, instance) {
                 tracing::info!(%instance, by = %w.from, "an endpoint is gone");
             }
         }
         match w.scope {
             Scope::Vm | Scope::Change => {
-                let is_new = known.peers.receive(now, &w.from, w.start, w.number);
+                let is_new = view.peers.receive(now, &w.from, w.start, w.number);
                 if is_new && zone == site.zone {
-                    known.peers.note_store(&w.from, w.reaches_store);
-                    known.peers.note_list(&w.from, w.reads_list);
-                    known.note_ahead_here(&w.from, w.positions.endpoints);
+                    view.peers.note_store(&w.from, w.reaches_store);
+                    view.peers.note_list(&w.from, w.reads_list);
+                    view.note_ahead_here(&w.from, w.positions.endpoints);
                 }
                 if is_new && zone == site.zone && w.scope == Scope::Vm {
                     let from = VmName::from(w.from.as_str());
-                    known.balance.receive(now, from.clone(), taken);
-                    for key in w.unreached.iter().filter_map(|i| known.roster.find(i)) {
-                        known.balance.told_unreached(now, key);
+                    view.balance.receive(now, from.clone(), taken);
+                    for key in w.unreached.iter().filter_map(|i| view.roster.find(i)) {
+                        view.balance.told_unreached(now, key);
                     }
-                    known.taken.insert(from.clone(), (now, w.taken));
-                    known.demand.insert(from, (now, w.demand));
+                    view.taken.insert(from.clone(), (now, w.taken));
+                    view.demand.insert(from, (now, w.demand));
                 }
             }
             Scope::Zone if zone != site.zone => {
-                known
-                    .peers
+                view.peers
                     .receive_zone(now, zone, w.from.clone(), usize::from(w.vms));
-                let before = known.zone_parts.insert(w.zone.clone(), w.parts);
+                let before = view.zone_parts.insert(w.zone.clone(), w.parts);
                 for part in 0..before.filter(|n| *n != w.parts).unwrap_or(0) {
                     // An endpoint is in another part now, and would count twice.
                     let former = zone_name(&w.zone, part);
-                    known.balance.receive(now, former, Vec::new());
+                    view.balance.receive(now, former, Vec::new());
                 }
                 let from = zone_name(&w.zone, w.part);
-                known.balance.receive(now, from.clone(), taken);
+                view.balance.receive(now, from.clone(), taken);
                 if w.part == 0 {
-                    known.demand.insert(from, (now, w.demand));
+                    view.demand.insert(from, (now, w.demand));
                 }
             }
             Scope::Zone | Scope::News => {}
         }
-        known.wanted.extend(w.wants.into_iter().map(|m| (m, now)));
+        view.wanted.extend(w.wants.into_iter().map(|m| (m, now)));
         // A zone that repeats what is known here says nothing new, but is heard all the same.
         if let Some(notice) = w.lease
-            && known.candidacy.hear(now, heard(now, notice))
+            && view.candidacy.hear(now, heard(now, notice))
         {
             site.lease_free.notify_one();
         }
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -105,7 +105,7 @@
             return;
         }
         let now = self.site.now();
-        self.site.known().balance.first(now, sent);
+        self.site.view().balance.first(now, sent);
         self.site.eased.notify_waiters();
         let since = now.duration_since(self.arrived);
         self.site.metrics.first_byte.observe(since.as_secs_f64());
@@ -141,7 +141,7 @@
         let Some(sent) = self.sent.take() else { return };
         let first_ms = sent.first().map(millis);
         self.site
-            .known()
+            .view()
             .balance
             .finish(self.site.now(), sent, ending);
         if may_log() {
--- a/crates/limehollow-node/src/room.rs
+++ b/crates/limehollow-node/src/room.rs
@@ -42,7 +42,7 @@
 where
     P: Protocol,
 {
-    if site.known().balance.backpressure.rate(to.key).is_none() {
+    if site.view().balance.backpressure.rate(to.key).is_none() {
         return Ok(Room::Unlimited);
     }
     let asked = site.now();
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -1,9 +1,9 @@
 //! What one VM says to the others, without the socket that it goes through.
 
 use crate::edge::{Feed, Protocol};
-use crate::known::Known;
 use crate::receiver::is_zone;
 use crate::site::Site;
+use crate::site_view::SiteView;
 use crate::start;
 use limehollow::backpressure::RateWord;
 use limehollow::balance::{MESSAGE_LIFE, Taken};
@@ -151,7 +151,7 @@
     /// Tells whether the whole message may go before its time, when there is something to say anyway: to so many that listen it
     /// goes the more seldom, so that it costs as much in each zone.
     fn may_say_all(&self, now: Instant) -> bool {
-        let listeners = self.site.known().peers.listeners(now).len();
+        let listeners = self.site.view().peers.listeners(now).len();
         let pause = EARLY_EACH * u32::try_from(listeners).unwrap_or(u32::MAX);
         listeners > 0 && now.saturating_duration_since(self.said_all) >= pause
     }
@@ -160,33 +160,33 @@
     pub fn outgoing(&mut self, now: Instant) -> Vec<Outgoing> {
         self.said_all = now;
         let site = Arc::clone(&self.site);
-        let mut known = site.known();
-        let known = &mut *known;
-        let pace = pace(known.peers.neighbours().len());
+        let mut view = site.view();
+        let view = &mut *view;
+        let pace = pace(view.peers.neighbours().len());
         self.due = now + pace.mul_f64(rand::random_range(OUT_OF_STEP));
-        let told = known.quarantine.take_told(now);
-        let mut own = self.own(now, known, told.here);
-        own.rates = self.rates(now, known);
-        own.reports = known.reports.take();
-        own.wants = std::mem::take(&mut known.wants).into_iter().collect();
-        let mut to = known.peers.told_here(now);
+        let told = view.quarantine.take_told(now);
+        let mut own = self.own(now, view, told.here);
+        own.rates = self.rates(now, view);
+        own.reports = view.reports.take();
+        own.wants = std::mem::take(&mut view.wants).into_iter().collect();
+        let mut to = view.peers.told_here(now);
         if !own.wants.is_empty() {
-            to.extend(controller(now, known).filter(|a| !to.contains(a)));
+            to.extend(controller(now, view).filter(|a| !to.contains(a)));
         }
-        if known.peers.known() == 1 {
+        if view.peers.known() == 1 {
             to.clone_from(&self.seeds);
         }
-        let mut outgoing = abroad(&own, now, known, told.abroad);
+        let mut outgoing = abroad(&own, now, view, told.abroad);
         // The pause is drawn anew each time: measured by the whole pace, every second message would come too early for sums.
         let is_due = now.duration_since(self.summed) >= pace.mul_f64(OUT_OF_STEP.start);
-        if is_due && known.peers.is_zone_leader(now) {
+        if is_due && view.peers.is_zone_leader(now) {
             self.summed = now;
-            let targets = known.peers.zone_targets(now);
-            for part in sums(&own, now, known) {
+            let targets = view.peers.zone_targets(now);
+            for part in sums(&own, now, view) {
                 outgoing.push((part, targets.clone()));
             }
         }
-        outgoing.extend(list_news(&own, known, &to));
+        outgoing.extend(list_news(&own, view, &to));
         outgoing.push((own, to));
         outgoing
     }
@@ -195,15 +195,15 @@
     /// what its callers ask for, which is most of a message, isn't said again.
     fn changes(&mut self, now: Instant) -> Vec<Outgoing> {
         let site = Arc::clone(&self.site);
-        let mut known = site.known();
-        let known = &mut *known;
-        let told = known.quarantine.take_told(now);
-        let mut own = self.own(now, known, told.here);
-        own.rates = self.rates(now, known);
-        own.reports = known.reports.take();
-        let to = known.peers.told_here(now);
-        let mut outgoing = abroad(&own, now, known, told.abroad);
-        outgoing.extend(list_news(&own, known, &to));
+        let mut view = site.view();
+        let view = &mut *view;
+        let told = view.quarantine.take_told(now);
+        let mut own = self.own(now, view, told.here);
+        own.rates = self.rates(now, view);
+        own.reports = view.reports.take();
+        let to = view.peers.told_here(now);
+        let mut outgoing = abroad(&own, now, view, told.abroad);
+        outgoing.extend(list_news(&own, view, &to));
         let change = Message {
             scope: Scope::Change,
             taken: Vec::new(),
@@ -218,14 +218,14 @@
     /// Gives what requests wait for that isn't loaded, for the controller. While none is known the next whole message says it.
     fn wants(&mut self, now: Instant) -> Option<Outgoing> {
         let site = Arc::clone(&self.site);
-        let mut known = site.known();
-        let known = &mut *known;
-        let to = controller(now, known)?;
-        if known.wants.is_empty() {
+        let mut view = site.view();
+        let view = &mut *view;
+        let to = controller(now, view)?;
+        if view.wants.is_empty() {
             return None;
         }
-        let wants = std::mem::take(&mut known.wants).into_iter().collect();
-        let own = self.own(now, known, Vec::new());
+        let wants = std::mem::take(&mut view.wants).into_iter().collect();
+        let own = self.own(now, view, Vec::new());
         let message = Message {
             forward: false,
             wants,
@@ -236,8 +236,8 @@
     }
 
     /// Gives what is said of the limits that endpoints name: those that are news, and from time to time all.
-    fn rates(&mut self, now: Instant, known: &Known) -> Vec<RateSaid> {
-        let wishes = &known.balance.backpressure;
+    fn rates(&mut self, now: Instant, view: &SiteView) -> Vec<RateSaid> {
+        let wishes = &view.balance.backpressure;
         let words = if now.duration_since(self.limits_said) >= LIMITS_SAID_EVERY {
             self.limits_said = now;
             self.some_in_turn(wishes.limits().collect())
@@ -245,7 +245,7 @@
             wishes.news(now, RATE_SAID_FOR).take(MAX_RATES).collect()
         };
         let said = words.into_iter().filter_map(|(k, w)| {
-            let instance = known.roster.get(k)?.instance.clone();
+            let instance = view.roster.get(k)?.instance.clone();
             Some(RateSaid::at(now, instance, w))
         });
         said.collect()
@@ -265,14 +265,13 @@
         words
     }
 
-    fn own(&mut self, now: Instant, known: &mut Known, crashes: Vec<CrashRecord>) -> Message {
+    fn own(&mut self, now: Instant, view: &mut SiteView, crashes: Vec<CrashRecord>) -> Message {
         self.number += 1;
         let fresh = |at: &Instant, life: Duration| now.duration_since(*at) < life;
-        known
-            .list_news
+        view.list_news
             .retain(|(at, _)| fresh(at, LIST_REPEATED_FOR));
         let named = |(k, t): (EndpointKey, Taken)| {
-            let e = known.roster.get(k)?;
+            let e = view.roster.get(k)?;
             Some((e.instance.clone(), t))
         };
         let me = SmolStr::new(self.site.me.as_str());
@@ -283,25 +282,25 @@
             vms: 1,
             address: format_smolstr!("{}", self.site.settings.load().peer_address()),
             millicores: self.site.settings.load().millicores(),
-            reaches_store: !known.lease_failing,
+            reaches_store: !view.lease_failing,
             start: self.start,
             number: self.number,
-            taken: known.balance.own().filter_map(named).collect(),
-            unreached: unreached(now, known),
-            gone: fresh_starts(now, &known.gone),
-            leaving: fresh_starts(now, &known.leaving),
-            demand: rates(known.arrivals.rates(now)),
+            taken: view.balance.own().filter_map(named).collect(),
+            unreached: unreached(now, view),
+            gone: fresh_starts(now, &view.gone),
+            leaving: fresh_starts(now, &view.leaving),
+            demand: rates(view.arrivals.rates(now)),
             wants: Vec::new(),
             reports: Vec::new(),
             list: Vec::new(),
-            lease: own_notice(now, known),
-            positions: known.positions,
-            reading: known.readings.told(now),
-            last_reader: last_reader(now, &me, known),
+            lease: own_notice(now, view),
+            positions: view.positions,
+            reading: view.readings.told(now),
+            last_reader: last_reader(now, &me, view),
             crashes,
-            crashes_digest: known.quarantine.digest(),
-            reads_list: known.readings.reads(Feed::Endpoints),
-            vms_known: u16::try_from(known.quotas.vms()).unwrap_or(u16::MAX),
+            crashes_digest: view.quarantine.digest(),
+            reads_list: view.readings.reads(Feed::Endpoints),
+            vms_known: u16::try_from(view.quotas.vms()).unwrap_or(u16::MAX),
             rates: Vec::new(),
             part: 0,
             parts: 1,
@@ -311,31 +310,31 @@
 }
 
 /// Gives where the VM that gives orders listens, if another one is heard to.
-fn controller(now: Instant, known: &Known) -> Option<SocketAddr> {
-    let holder = known.candidacy.holder(now)?;
-    known.peers.address(holder)
+fn controller(now: Instant, view: &SiteView) -> Option<SocketAddr> {
+    let holder = view.candidacy.holder(now)?;
+    view.peers.address(holder)
 }
 
 /// Gives what other zones are told of as soon as it is known.
 fn abroad(
     own: &Message,
     now: Instant,
-    known: &mut Known,
+    view: &mut SiteView,
     crashed: Vec<CrashRecord>,
 ) -> Vec<Outgoing> {
     let mut outgoing = Vec::new();
     if !own.reports.is_empty() {
-        outgoing.push((news(own), known.peers.zone_targets(now)));
+        outgoing.push((news(own), view.peers.zone_targets(now)));
     }
     if !crashed.is_empty() {
-        outgoing.push((crashes(own, crashed), known.peers.zone_turns()));
+        outgoing.push((crashes(own, crashed), view.peers.zone_turns()));
     }
     outgoing
 }
 
 /// Gives what the zone is told of changes of the list.
-fn list_news(own: &Message, known: &Known, to: &[SocketAddr]) -> Vec<Outgoing> {
-    let parts = list_parts(known).into_iter();
+fn list_news(own: &Message, view: &SiteView, to: &[SocketAddr]) -> Vec<Outgoing> {
+    let parts = list_parts(view).into_iter();
     parts.map(|l| (list_part(own, l), to.to_vec())).collect()
 }
 
@@ -349,17 +348,17 @@
 }
 
 /// Gives who read the configuration last, of this VM and all that it has heard of.
-fn last_reader(now: Instant, me: &SmolStr, known: &Known) -> Option<LastReader> {
-    let own = known.readings.last_read(Feed::Configuration);
-    let other = known.confirmation.reader();
+fn last_reader(now: Instant, me: &SmolStr, view: &SiteView) -> Option<LastReader> {
+    let own = view.readings.last_read(Feed::Configuration);
+    let other = view.confirmation.reader();
     let last = own.map(|at| (me, at)).into_iter().chain(other);
     let (vm, at) = last.max_by_key(|(_, at)| *at)?;
     Some(LastReader::at(now, vm.clone(), at))
 }
 
-fn unreached(now: Instant, known: &Known) -> Vec<Instance> {
-    let keys = known.balance.unreached(now);
-    keys.filter_map(|k| Some(known.roster.get(k)?.instance.clone()))
+fn unreached(now: Instant, view: &SiteView) -> Vec<Instance> {
+    let keys = view.balance.unreached(now);
+    keys.filter_map(|k| Some(view.roster.get(k)?.instance.clone()))
         .collect()
 }
 
@@ -370,10 +369,10 @@
 }
 
 /// Gives what is passed on of the list, in parts that each fit in a message.
-fn list_parts(known: &Known) -> Vec<Vec<ListChanges>> {
+fn list_parts(view: &SiteView) -> Vec<Vec<ListChanges>> {
     let mut out: Vec<Vec<ListChanges>> = Vec::new();
     let mut room = 0;
-    for (_, l) in &known.list_news {
+    for (_, l) in &view.list_news {
         let n = l.changes.len().max(1);
         match out.last_mut().filter(|_| n <= room) {
             Some(part) => part.push(l.clone()),
@@ -428,11 +427,11 @@
 }
 
 /// Makes the messages of a zone: the sums over its VMs, in as many parts as it takes for each to fit in a datagram.
-fn sums(own: &Message, now: Instant, known: &Known) -> Vec<Message> {
+fn sums(own: &Message, now: Instant, view: &SiteView) -> Vec<Message> {
     let here = |vm: &VmName| !is_zone(vm);
     let fresh = |at: &Instant| now.duration_since(*at) < MESSAGE_LIFE;
     let mut taken: BTreeMap<Instance, Taken> = own.taken.iter().cloned().collect();
-    for (instance, t) in known
+    for (instance, t) in view
         .taken
         .values()
         .filter(|(at, _)| fresh(at))
@@ -441,7 +440,7 @@
         taken.entry(instance.clone()).or_default().add(t);
     }
     let mut demand: BTreeMap<ModelRef, f32> = own.demand.iter().cloned().collect();
-    let others = known
+    let others = view
         .demand
         .iter()
         .filter(|(vm, (at, _))| here(vm) && fresh(at));
@@ -450,13 +449,13 @@
     }
     let whole = Message {
         scope: Scope::Zone,
-        vms: u16::try_from(known.peers.alive_here(now)).unwrap_or(u16::MAX),
+        vms: u16::try_from(view.peers.alive_here(now)).unwrap_or(u16::MAX),
         demand: demand.into_iter().collect(),
         gone: own.gone.clone(),
         leaving: own.leaving.clone(),
         rates: own.rates.clone(),
         reports: Vec::new(),
-        lease: zone_notice(now, known),
+        lease: zone_notice(now, view),
         ..news(own)
     };
     in_parts(&whole, taken.into_iter().collect())
@@ -501,15 +500,15 @@
 }
 
 /// Gives what this VM says of the lease, if it holds it or has just resigned.
-fn own_notice(now: Instant, known: &Known) -> Option<LeaseNotice> {
-    let (notice, until) = known.lease_notice.as_ref()?;
+fn own_notice(now: Instant, view: &SiteView) -> Option<LeaseNotice> {
+    let (notice, until) = view.lease_notice.as_ref()?;
     (now < *until).then(|| said(now, notice))
 }
 
 /// Gives what a VM of this zone says of the lease, for the other zones.
-fn zone_notice(now: Instant, known: &Known) -> Option<LeaseNotice> {
-    let heard = known.candidacy.fresh(now);
-    let here = heard.filter(|w| known.peers.is_here(&w.vm));
+fn zone_notice(now: Instant, view: &SiteView) -> Option<LeaseNotice> {
+    let heard = view.candidacy.fresh(now);
+    let here = heard.filter(|w| view.peers.is_here(&w.vm));
     here.map(|w| said(now, w))
 }
 
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -5,11 +5,11 @@
 use crate::clock::Clock;
 use crate::edge::{Feed, Protocol};
 use crate::follower::{ages, position};
-use crate::known::{Known, StoreReturn};
 use crate::metrics::Metrics;
 use crate::pool::Pool;
 use crate::question::Questions;
 use crate::settings::NodeSettings;
+use crate::site_view::{SiteView, StoreReturn};
 use crate::start;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use limehollow::catalog::Catalog;
@@ -78,7 +78,7 @@
     pub lease_free: Notify,
     list_tx: UnboundedSender<ListChanges>,
     list_rx: Mutex<Option<UnboundedReceiver<ListChanges>>>,
-    known: Mutex<Known>,
+    view: Mutex<SiteView>,
     stopping: AtomicBool,
 }
 
@@ -96,7 +96,7 @@
     #[must_use]
     pub fn with_clock(settings: NodeSettings, protocol: P, clock: Arc<Clock>) -> Arc<Self> {
         let zone = ZoneName::from(settings.availability_zone.as_str());
-        let known = Known::new(&settings, clock.now());
+        let view = SiteView::new(&settings, clock.now());
         let (list_tx, list_rx) = mpsc::unbounded_channel();
         Arc::new(Self {
             me: VmName::from(settings.name.as_str()),
@@ -122,7 +122,7 @@
             endpoints_behind: Notify::new(),
             list_tx,
             list_rx: Mutex::new(Some(list_rx)),
-            known: Mutex::new(known),
+            view: Mutex::new(view),
             stopping: AtomicBool::new(false),
         })
     }
@@ -133,9 +133,9 @@
     }
 
     /// Gives the shared knowledge; never hold it over an `await`.
-    pub fn known(&self) -> MutexGuard<'_, Known> {
+    pub fn view(&self) -> MutexGuard<'_, SiteView> {
         // A panic elsewhere leaves counters at worst a little off.
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+        self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Puts a configuration in force, unless one as new is.
@@ -154,10 +154,10 @@
         let cold = c.services.iter();
         let cold = cold.filter_map(|(name, s)| Some((name.clone(), s.cold?)));
         let now = self.now();
-        let mut known = self.known();
-        known.quotas.set_limits(now, limits);
-        known.set_cold_specs(now, cold);
-        drop(known);
+        let mut view = self.view();
+        view.quotas.set_limits(now, limits);
+        view.set_cold_specs(now, cold);
+        drop(view);
         self.catalog.store(Some(Arc::new(c)));
         self.changed.notify_waiters();
         true
@@ -165,7 +165,7 @@
 
     /// Takes in that a zone is evacuated or taken back.
     pub(crate) fn set_evacuated(&self, zone: &ZoneName, begins: bool) {
-        if self.known().roster.set_evacuated(zone, begins) {
+        if self.view().roster.set_evacuated(zone, begins) {
             if begins {
                 tracing::warn!(%zone, "the zone is evacuated: its endpoints get no new work");
             } else {
@@ -177,8 +177,8 @@
 
     /// Takes all zones back that a whole reading doesn't name.
     pub(crate) fn retain_evacuated(&self, named: &BTreeSet<ZoneName>) {
-        let known: BTreeSet<ZoneName> = self.known().roster.evacuated().cloned().collect();
-        for zone in known.difference(named) {
+        let evacuated: BTreeSet<ZoneName> = self.view().roster.evacuated().cloned().collect();
+        for zone in evacuated.difference(named) {
             self.set_evacuated(zone, false);
         }
     }
@@ -200,7 +200,7 @@
             return false;
         };
         let keys = c.workspaces.is_empty() || self.keys_count();
-        keys && !self.known().roster.is_empty()
+        keys && !self.view().roster.is_empty()
     }
 
     /// Tells whether this VM's configuration is fresh enough for its keys to count.
@@ -208,12 +208,12 @@
         let Some(bound) = self.settings.load().key_bound() else {
             return true;
         };
-        self.known().confirmation.allows(self.now(), bound)
+        self.view().confirmation.allows(self.now(), bound)
     }
 
     /// Offers changes of the list that another VM of the zone has read to the follower of the list.
     pub fn offer_list(&self, l: ListChanges) {
-        if l.to <= self.known().positions.endpoints {
+        if l.to <= self.view().positions.endpoints {
             return;
         }
         // Without a follower, as in some tests, nobody needs them.
@@ -230,22 +230,22 @@
 
     /// Gives how far this process has read what it follows.
     pub fn positions(&self) -> Positions {
-        self.known().positions
+        self.view().positions
     }
 
     /// Takes in that the store has come back from a copy: what was written there since the copy was made is gone.
     pub(crate) fn note_return(&self, era: u64) {
         let now = self.now();
-        let mut known = self.known();
-        if known.returned.is_some_and(|r| r.era >= era) {
+        let mut view = self.view();
+        if view.returned.is_some_and(|r| r.era >= era) {
             return;
         }
-        known.returned = Some(StoreReturn { era, at: now });
+        view.returned = Some(StoreReturn { era, at: now });
         tracing::warn!(era, "the store has come back from a copy");
         self.metrics.store_returns.inc();
-        if known.peers.is_zone_leader(now) {
-            known.quarantine.save_all(now);
-            drop(known);
+        if view.peers.is_zone_leader(now) {
+            view.quarantine.save_all(now);
+            drop(view);
             self.quarantine_unsaved.notify_one();
         }
     }
@@ -253,19 +253,19 @@
     /// Takes in how far another VM has read and how fresh that is, and wakes the followers that are behind it.
     pub fn note_peer(&self, vm: &SmolStr, p: Positions, r: Reading) {
         let now = self.now();
-        let mut known = self.known();
+        let mut view = self.view();
         for feed in [Feed::Configuration, Feed::Endpoints] {
-            let (theirs, mine) = (position(p, feed), position(known.positions, feed));
+            let (theirs, mine) = (position(p, feed), position(view.positions, feed));
             if let Some(ages) = ages(r, feed) {
                 let has_all = mine.holds(theirs) && !mine.is_start();
-                self.meet(&mut known, feed, ages.told(now), has_all);
+                self.meet(&mut view, feed, ages.told(now), has_all);
             }
             if theirs <= mine {
                 continue;
             }
-            let best = known.ahead.get(&feed).map(|(_, at)| *at);
+            let best = view.ahead.get(&feed).map(|(_, at)| *at);
             if Some(theirs) >= best {
-                known.ahead.insert(feed, (vm.clone(), theirs));
+                view.ahead.insert(feed, (vm.clone(), theirs));
             }
             if let Some(behind) = self.behind(feed) {
                 behind.notify_one();
@@ -283,10 +283,10 @@
     }
 
     /// Takes in how fresh another VM's copy is; `has_all` says whether this process's holds all that is in it.
-    pub(crate) fn meet(&self, known: &mut Known, feed: Feed, other: Freshness, has_all: bool) {
+    pub(crate) fn meet(&self, view: &mut SiteView, feed: Feed, other: Freshness, has_all: bool) {
         if let Some(pace) = self.settings.load().pace(feed) {
             let gap = pace.longest_gap();
-            known.readings.meet(feed, other, has_all, gap);
+            view.readings.meet(feed, other, has_all, gap);
         }
     }
 
@@ -298,29 +298,29 @@
     /// Gives what this process has read of the store, for a VM that can't read it.
     pub fn state(&self) -> State {
         let members = start::members(self);
-        let known = self.known();
-        let listed = known.roster.iter().map(|(_, e)| e);
-        let listed = listed.filter(|e| !known.withheld.contains(&e.instance.id));
-        let listed = listed.chain(known.doubtful.values());
+        let view = self.view();
+        let listed = view.roster.iter().map(|(_, e)| e);
+        let listed = listed.filter(|e| !view.withheld.contains(&e.instance.id));
+        let listed = listed.chain(view.doubtful.values());
         State {
-            positions: known.positions,
-            reading: known.readings.of_state(self.now()),
+            positions: view.positions,
+            reading: view.readings.of_state(self.now()),
             catalog: self.catalog.load().as_deref().cloned(),
             endpoints: listed.cloned().collect(),
-            unreadable: known.roster.unreadable().cloned().collect(),
-            evacuated: known.roster.evacuated().cloned().collect(),
+            unreadable: view.roster.unreadable().cloned().collect(),
+            evacuated: view.roster.evacuated().cloned().collect(),
             members,
         }
     }
 
     /// Gives the configuration that this process has read of the store.
     pub fn configuration(&self) -> State {
-        let known = self.known();
+        let view = self.view();
         State {
-            positions: known.positions,
-            reading: known.readings.of_state(self.now()),
+            positions: view.positions,
+            reading: view.readings.of_state(self.now()),
             catalog: self.catalog.load().as_deref().cloned(),
-            evacuated: known.roster.evacuated().cloned().collect(),
+            evacuated: view.roster.evacuated().cloned().collect(),
             ..State::default()
         }
     }
@@ -328,51 +328,51 @@
     /// Gives all that the process knows, for operators.
     pub fn dump(&self) -> serde_json::Value {
         let now = self.now();
-        let known = self.known();
-        let endpoints = known.roster.iter().map(|(k, e)| {
+        let view = self.view();
+        let endpoints = view.roster.iter().map(|(k, e)| {
             serde_json::json!({
                 "id": e.instance.id,
                 "born": e.instance.born,
                 "service": e.service,
                 "zone": e.zone,
                 "leaving": e.leaving,
-                "cold": known.balance.backpressure.is_cold(k),
-                "takes_per_s": known.balance.backpressure.rate(k),
-                "rests_ms": known.balance.backpressure.opens_in(now, k).map(|t| t.as_millis()),
-                "ejected": known.balance.is_ejected(now, k),
+                "cold": view.balance.backpressure.is_cold(k),
+                "takes_per_s": view.balance.backpressure.rate(k),
+                "rests_ms": view.balance.backpressure.opens_in(now, k).map(|t| t.as_millis()),
+                "ejected": view.balance.is_ejected(now, k),
                 "holdings": e.holdings,
                 "copies": e.copies,
             })
         });
-        let heard = known.peers.silences(now);
+        let heard = view.peers.silences(now);
         let heard = heard.map(|(vm, t)| (vm.clone(), t.map(|t| t.as_millis())));
         let heard: BTreeMap<SmolStr, Option<u128>> = heard.collect();
         serde_json::json!({
             "vm": self.me,
             "configuration": self.catalog.load().as_ref().map(|c| c.version),
-            "positions": known.positions,
+            "positions": view.positions,
             "stopping": self.is_stopping(),
             "vms_heard_ms_ago": heard,
             "endpoints": endpoints.collect::<Vec<_>>(),
-            "evacuated_zones": known.roster.evacuated().collect::<Vec<_>>(),
-            "unreadable_entries": known.roster.unreadable().collect::<Vec<_>>(),
-            "requests_quarantined": quarantined(&known.quarantine, now),
-            "configuration_confirmed_ms_ago": known.confirmation.age(now).map(|a| a.as_millis()),
-            "limits_shared_by_vms": known.quotas.vms(),
-            "limits": limits(&known.quotas),
-            "requests_suspected": known.quarantine.suspects(),
+            "evacuated_zones": view.roster.evacuated().collect::<Vec<_>>(),
+            "unreadable_entries": view.roster.unreadable().collect::<Vec<_>>(),
+            "requests_quarantined": quarantined(&view.quarantine, now),
+            "configuration_confirmed_ms_ago": view.confirmation.age(now).map(|a| a.as_millis()),
+            "limits_shared_by_vms": view.quotas.vms(),
+            "limits": limits(&view.quotas),
+            "requests_suspected": view.quarantine.suspects(),
         })
     }
 
     /// Takes in that a request waits here for something that isn't loaded, and tells the controller.
     pub fn want(&self, m: &ModelRef) {
-        self.known().want(self.now(), m);
+        self.view().want(self.now(), m);
         self.wanting.notify_one();
     }
 
     /// Takes in what the controller knows of an endpoint.
     pub fn report(&self, now: Instant, r: &HoldingsReport) {
-        let update = self.known().report(now, r);
+        let update = self.view().report(now, r);
         self.note_restart(&r.instance, update, "report");
         if update.is_news {
             self.changed.notify_waiters();
@@ -381,7 +381,7 @@
 
     /// Takes in that another start answers at an endpoint's address, and tells the other VMs. Gives whether it is news.
     pub fn note_gone(&self, instance: &Instance) -> bool {
-        let is_news = self.known().note_gone(self.now(), instance);
+        let is_news = self.view().note_gone(self.now(), instance);
         if is_news {
             self.urgent.notify_one();
         }
@@ -390,32 +390,32 @@
 
     /// Brings the metrics on requests that crash endpoints up to date.
     pub(crate) fn show_crashing_requests(&self) {
-        let known = self.known();
+        let view = self.view();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
-        let quarantined = known.quarantine.quarantined(self.now()).count();
+        let quarantined = view.quarantine.quarantined(self.now()).count();
         self.metrics.requests_quarantined.set(count(quarantined));
-        let suspected = known.quarantine.suspects();
+        let suspected = view.quarantine.suspects();
         self.metrics.requests_suspected.set(count(suspected));
     }
 
     /// Brings the metrics on endpoints that take less up to date.
     pub(crate) fn show_backpressure(&self) {
-        let known = self.known();
+        let view = self.view();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
-        let wishes = &known.balance.backpressure;
+        let wishes = &view.balance.backpressure;
         self.metrics
             .endpoints_limited
             .set(count(wishes.limits().count()));
         self.metrics
             .endpoints_cold
             .set(count(wishes.cold().count()));
-        let evacuated = known.roster.evacuated().count();
+        let evacuated = view.roster.evacuated().count();
         self.metrics.zones_evacuated.set(count(evacuated));
     }
 
     /// Takes in that a start of an endpoint has crashed, and tells the other VMs what it ran.
     pub fn note_crashed(&self, start: &Instance) {
-        let ran_some = self.known().note_crashed(self.now(), start);
+        let ran_some = self.view().note_crashed(self.now(), start);
         if ran_some {
             self.urgent.notify_one();
             self.quarantine_unsaved.notify_one();
@@ -424,7 +424,7 @@
 
     /// Clears a request that endpoints crashed under, and tells the other VMs. Gives whether anything spoke against it.
     pub fn clear_request(&self, request: Fingerprint, by: &'static str) -> bool {
-        let was_suspect = self.known().quarantine.clear(self.now(), request);
+        let was_suspect = self.view().quarantine.clear(self.now(), request);
         if was_suspect {
             self.tell_cleared(request, by);
         }
@@ -434,7 +434,7 @@
     /// Takes in that an endpoint has run a request to its end: it doesn't crash those that run it.
     pub(crate) fn note_answer(&self, request: Fingerprint) {
         let now = self.now();
-        if self.known().quarantine.note_answer(now, request) {
+        if self.view().quarantine.note_answer(now, request) {
             self.tell_cleared(request, "an endpoint that ran it");
         }
     }
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -53,7 +53,7 @@
 /// What is known of endpoints, load and demand.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each says another thing")]
-pub struct Known {
+pub struct SiteView {
     /// This VM.
     me: Vm,
     /// The endpoints.
@@ -138,7 +138,7 @@
     pub quarantines: BTreeMap<SmolStr, Said>,
 }
 
-impl Known {
+impl SiteView {
     /// Knows nothing yet.
     pub(crate) fn new(settings: &NodeSettings, now: Instant) -> Self {
         let zone = ZoneName::from(settings.availability_zone.as_str());
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -48,13 +48,13 @@
     P: Protocol,
     T: States,
 {
-    site.known().is_starting = true;
+    site.view().is_starting = true;
     get_state(site, states).await;
     let now = site.now();
-    let mut known = site.known();
-    known.is_starting = false;
-    if known.candidacy.fresh(now).is_none() {
-        known.candidacy.listen(now);
+    let mut view = site.view();
+    view.is_starting = false;
+    if view.candidacy.fresh(now).is_none() {
+        view.candidacy.listen(now);
     }
 }
 
@@ -152,9 +152,9 @@
     T: States,
 {
     let ahead = {
-        let known = site.known();
-        let vm = known.ahead_in_list();
-        vm.and_then(|vm| known.peers.address(vm))
+        let view = site.view();
+        let vm = view.ahead_in_list();
+        vm.and_then(|vm| view.peers.address(vm))
     };
     match ahead {
         Some(vm) => {
@@ -191,7 +191,7 @@
     T: States,
 {
     learn(site, &state.members);
-    site.known().is_given = true;
+    site.view().is_given = true;
     for feed in [Feed::Configuration, Feed::Endpoints] {
         let mut f = Follower::new(Arc::clone(site), states.clone(), feed);
         let vm = format_smolstr!("{giver}");
@@ -208,18 +208,18 @@
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
+    let mut view = site.view();
     for m in &members.vms {
         let Some(vm) = vm(&m.vm) else {
             continue;
         };
-        known.learn(&vm);
+        view.learn(&vm);
         if m.is_listed {
-            known.note_listed(vm);
+            view.note_listed(vm);
         }
     }
-    known.has_vms |= members.has_all;
-    known.note_vms(now, 0);
+    view.has_vms |= members.has_all;
+    view.note_vms(now, 0);
 }
 
 /// Gives the VMs that this one knows, itself too.
@@ -228,8 +228,8 @@
     P: Protocol,
 {
     let me = myself(site);
-    let known = site.known();
-    let others = known
+    let view = site.view();
+    let others = view
         .peers
         .vms()
         .map(|(name, zone, address, millicores)| Vm {
@@ -239,12 +239,12 @@
             millicores,
         });
     let vms = others.chain([me]).map(|vm| Member {
-        is_listed: known.listed.get(&vm.name) == Some(&vm),
+        is_listed: view.listed.get(&vm.name) == Some(&vm),
         vm: introduction(&vm),
     });
     Members {
         vms: vms.collect(),
-        has_all: known.has_vms,
+        has_all: view.has_vms,
     }
 }
 
@@ -275,12 +275,12 @@
         return Reply::Giver(None);
     };
     let now = site.now();
-    let mut known = site.known();
-    known.learn(&vm);
-    let (who, position) = ((vm.address, vm.millicores), known.positions.endpoints);
-    let giver = known.start_tree.place(now, &vm.zone, who, position);
-    if known.listed.get(&vm.name) != Some(&vm) {
-        known.unlisted.insert(vm.name.clone(), vm);
+    let mut view = site.view();
+    view.learn(&vm);
+    let (who, position) = ((vm.address, vm.millicores), view.positions.endpoints);
+    let giver = view.start_tree.place(now, &vm.zone, who, position);
+    if view.listed.get(&vm.name) != Some(&vm) {
+        view.unlisted.insert(vm.name.clone(), vm);
         site.vm_unlisted.notify_one();
     }
     Reply::Giver(match giver {
@@ -294,10 +294,10 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    let p = known.positions;
+    let view = site.view();
+    let p = view.positions;
     let has_list = p.endpoints > beyond;
-    let has_rest = known.has_vms && !p.configuration.is_start() && site.catalog.load().is_some();
+    let has_rest = view.has_vms && !p.configuration.is_start() && site.catalog.load().is_some();
     has_list && (!beyond.is_start() || has_rest)
 }
 
@@ -313,16 +313,16 @@
     let (mut pause, mut again) = (ANNOUNCE_AFTER, WRITE_AGAIN_AFTER);
     let mut own_due = site.now() + own_turn(&site);
     loop {
-        let due = (!site.known().is_listed).then_some(own_due);
+        let due = (!site.view().is_listed).then_some(own_due);
         tokio::select! {
             () = site.vm_unlisted.notified() => sleep(GATHER).await,
             () = until(&site, due) => {
                 // Another VM may have made it known meanwhile.
-                if site.known().is_listed {
+                if site.view().is_listed {
                     continue;
                 }
                 let me = myself(&site);
-                site.known().unlisted.insert(me.name.clone(), me);
+                site.view().unlisted.insert(me.name.clone(), me);
                 own_due = site.now() + jittered(pause);
                 pause = (pause * 2).min(LONGEST_ANNOUNCE_PAUSE);
             }
@@ -375,14 +375,14 @@
     P: Protocol,
     S: Store,
 {
-    let vms: Vec<Vm> = site.known().unlisted.values().cloned().collect();
+    let vms: Vec<Vm> = site.view().unlisted.values().cloned().collect();
     if vms.is_empty() {
         return Ok(());
     }
     store.announce(&vms).await?;
-    let mut known = site.known();
+    let mut view = site.view();
     for vm in vms {
-        known.note_listed(vm);
+        view.note_listed(vm);
     }
     Ok(())
 }
--- a/crates/limehollow-node/tests/crashing_requests.rs
+++ b/crates/limehollow-node/tests/crashing_requests.rs
@@ -124,8 +124,8 @@
     until_refused(&site).await;
     sleep(Duration::from_millis(500)).await;
     let held: Vec<_> = {
-        let known = site.vms[0].site.known();
-        let rows = known.quarantine.quarantined(Instant::now());
+        let view = site.vms[0].site.view();
+        let rows = view.quarantine.quarantined(Instant::now());
         rows.map(|(f, _, _)| f).collect()
     };
     let [request] = held[..] else {
@@ -160,8 +160,8 @@
         assert_ne!(status(&got), 503, "{got}");
         sleep(Duration::from_millis(50)).await;
     }
-    let known = site.vms[0].site.known();
-    assert_eq!(known.quarantine.suspects(), 0);
+    let view = site.vms[0].site.view();
+    assert_eq!(view.quarantine.suspects(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -172,14 +172,14 @@
         let s = Arc::clone(&site.vms[0].site);
         tokio::spawn(async move {
             sleep(Duration::from_millis(5)).await;
-            let mut known = s.known();
-            let all: Vec<_> = known.roster.iter().map(|(k, _)| k).collect();
+            let mut view = s.view();
+            let all: Vec<_> = view.roster.iter().map(|(k, _)| k).collect();
             for key in all {
-                known.roster.leave(key);
+                view.roster.leave(key);
             }
         });
         site.ask(0, CALLER, &format!("c-{n}"), CRASHING).await;
-        assert_eq!(site.vms[0].site.known().quarantine.suspects(), 0);
+        assert_eq!(site.vms[0].site.view().quarantine.suspects(), 0);
         site.relist();
     }
     assert!(site.crashes() >= 3, "{} ended", site.crashes());
--- a/crates/limehollow-node/tests/departures.rs
+++ b/crates/limehollow-node/tests/departures.rs
@@ -372,8 +372,8 @@
     let name = fleet.vms[by].site.me.as_str().into();
     let ahead = (name, LogPosition::new(0, 999));
     for i in fleet.zone(0) {
-        let mut known = fleet.vms[i].site.known();
-        known.ahead.insert(Feed::Configuration, ahead.clone());
+        let mut view = fleet.vms[i].site.view();
+        view.ahead.insert(Feed::Configuration, ahead.clone());
     }
 }
 
--- a/crates/limehollow-node/tests/endpoint_limits.rs
+++ b/crates/limehollow-node/tests/endpoint_limits.rs
@@ -29,7 +29,7 @@
     let mut gateways = Vec::new();
     for _ in 0..vms {
         let g = Gateway::start(rule("/draft/", Repeat::Never, 1), &[server.address]).await;
-        g.site.known().note_vms(Instant::now(), vms);
+        g.site.view().note_vms(Instant::now(), vms);
         gateways.push(g);
     }
     (server, gateways)
@@ -92,14 +92,14 @@
         for _ in 0..vms {
             let g = Gateway::start(rule("/draft/", Repeat::Never, 1), &[]).await;
             g.site.set_catalog(portal_is_cold_at_first());
-            let mut known = g.site.known();
-            known.note_vms(Instant::now(), vms);
+            let mut view = g.site.view();
+            view.note_vms(Instant::now(), vms);
             let cold = Endpoint {
                 cold_ms: 60_000,
                 ..rig::endpoint(0, server.address)
             };
-            known.list(Instant::now(), cold);
-            drop(known);
+            view.list(Instant::now(), cold);
+            drop(view);
             gateways.push(g);
         }
         let answers = burst(&gateways, 60).await;
@@ -124,7 +124,7 @@
             cold_ms,
             ..rig::endpoint(i, server.address)
         };
-        g.site.known().list(Instant::now(), listed);
+        g.site.view().list(Instant::now(), listed);
     }
     let answers = burst(&[g], 20).await;
     assert!(answers.iter().all(|a| status(a) == 200));
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -156,9 +156,9 @@
 
 async fn target(site: &Arc<Site<Plain>>) -> Option<Target> {
     let (key, address) = {
-        let known = site.known();
-        let key = known.roster.find(&instance())?;
-        (key, known.roster.get(key)?.address)
+        let view = site.view();
+        let key = view.roster.find(&instance())?;
+        (key, view.roster.get(key)?.address)
     };
     let mut to = Target {
         key,
--- a/crates/limehollow-node/tests/endpoint_words.rs
+++ b/crates/limehollow-node/tests/endpoint_words.rs
@@ -41,13 +41,13 @@
     assert!(refused.contains("retry-after: "), "{refused}");
     // Its entry, which was read late, says that it is ready.
     let listed = endpoint(0, leaving.address);
-    g.site.known().list(Instant::now(), listed.clone());
+    g.site.view().list(Instant::now(), listed.clone());
     assert_eq!(status(&g.ask("/draft/1", "").await), 503);
     // Its entry went, and came back with the store.
-    g.site.known().drop_endpoint(Instant::now(), "i-0");
-    g.site.known().list(Instant::now(), listed);
+    g.site.view().drop_endpoint(Instant::now(), "i-0");
+    g.site.view().list(Instant::now(), listed);
     g.site
-        .known()
+        .view()
         .list(Instant::now(), endpoint(1, other.address));
     for _ in 0..5 {
         assert_eq!(status(&g.ask("/draft/1", "").await), 200);
--- a/crates/limehollow-node/tests/evacuation.rs
+++ b/crates/limehollow-node/tests/evacuation.rs
@@ -38,8 +38,8 @@
 }
 
 fn evacuated(site: &Site<Plain>) -> Vec<String> {
-    let known = site.known();
-    known.roster.evacuated().map(ToString::to_string).collect()
+    let view = site.view();
+    view.roster.evacuated().map(ToString::to_string).collect()
 }
 
 /// A gateway before one endpoint in each zone.
@@ -53,7 +53,7 @@
             zone: (*zone).into(),
             ..endpoint(i, server.address)
         };
-        site.known().roster.list(Instant::now(), listed);
+        site.view().roster.list(Instant::now(), listed);
         servers.push(server);
     }
     (Gateway::with(site).await, servers)
@@ -100,7 +100,7 @@
                 .add(Feed::Configuration, evacuation("z0", begins));
             let began = Instant::now();
             let differs = |v: &&rig::fleet::Entry| {
-                v.site.known().roster.evacuated().count() != usize::from(begins)
+                v.site.view().roster.evacuated().count() != usize::from(begins)
             };
             while fleet.vms.iter().any(|v| differs(&v)) {
                 sleep(Duration::from_millis(20)).await;
@@ -114,17 +114,17 @@
 #[tokio::test]
 async fn evacuated_zone_gets_nothing_until_it_is_taken_back() {
     let (g, servers) = gateway(rule("/draft/", Repeat::Never, 1), &["a", "b"]).await;
-    g.site.known().roster.set_evacuated(&"a".into(), true);
+    g.site.view().roster.set_evacuated(&"a".into(), true);
     for _ in 0..5 {
         assert_eq!(status(&g.ask("/draft/1", "").await), 200);
     }
     assert_eq!((servers[0].requests(), servers[1].requests()), (0, 5));
     // Where all are evacuated, the caller is refused at once.
-    g.site.known().roster.set_evacuated(&"b".into(), true);
+    g.site.view().roster.set_evacuated(&"b".into(), true);
     let refused = g.ask("/draft/1", "").await;
     assert_eq!(status(&refused), 503);
     assert!(refused.contains("retry-after: "), "{refused}");
-    g.site.known().roster.set_evacuated(&"a".into(), false);
+    g.site.view().roster.set_evacuated(&"a".into(), false);
     assert_eq!(status(&g.ask("/draft/1", "").await), 200);
     assert_eq!(servers[0].requests(), 1);
 }
@@ -133,7 +133,7 @@
 async fn evacuated_at_the_last_moment_before_a_request_is_sent() {
     let (g, servers) = gateway(rule("/draft/", Repeat::Never, 1), &["a"]).await;
     let instance = endpoint(0, servers[0].address).instance;
-    let key = g.site.known().roster.find(&instance).expect("it is listed");
+    let key = g.site.view().roster.find(&instance).expect("it is listed");
     let to = Target {
         key,
         instance,
@@ -141,7 +141,7 @@
         room: Room::Unlimited,
     };
     assert!(may_send(&g.site, &to, None).is_ok());
-    g.site.known().roster.set_evacuated(&"a".into(), true);
+    g.site.view().roster.set_evacuated(&"a".into(), true);
     assert!(may_send(&g.site, &to, None).is_err());
 }
 
--- a/crates/limehollow-node/tests/following.rs
+++ b/crates/limehollow-node/tests/following.rs
@@ -35,9 +35,8 @@
 }
 
 fn endpoints(site: &Site<Plain>) -> Vec<String> {
-    let known = site.known();
-    known
-        .roster
+    let view = site.view();
+    view.roster
         .iter()
         .map(|(_, e)| e.instance.to_string())
         .collect()
@@ -114,14 +113,14 @@
     let site = start(&store);
     for i in 0..40 {
         let vm = format!("vm-{}", i + 2);
-        let mut known = site.known();
-        known.peers.learn(
+        let mut view = site.view();
+        view.peers.learn(
             vm.as_str().into(),
             "a".into(),
             ([127, 0, 0, 1], 7000).into(),
             250,
         );
-        known.peers.receive(tokio::time::Instant::now(), &vm, 1, 1);
+        view.peers.receive(tokio::time::Instant::now(), &vm, 1, 1);
     }
     store.add(Feed::Configuration, configuration(3));
     sleep(SOON).await;
--- a/crates/limehollow-node/tests/left_alone.rs
+++ b/crates/limehollow-node/tests/left_alone.rs
@@ -23,7 +23,7 @@
     for i in 1..=NEIGHBOURS {
         let (name, address) = (format!("vm-{i}"), ([127, 0, 0, i], 7000).into());
         let zone = site.zone.clone();
-        site.known().peers.learn(name.into(), zone, address, 250);
+        site.view().peers.learn(name.into(), zone, address, 250);
     }
     advance(Duration::from_secs(5)).await;
     site
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -123,7 +123,7 @@
     assert_eq!(status(&got), 503);
     assert!(got.contains("retry-after: "), "{got}");
     assert_eq!(s.requests(), 0);
-    assert!(g.site.known().wants.iter().any(|m| m.model == "big"));
+    assert!(g.site.view().wants.iter().any(|m| m.model == "big"));
 }
 
 #[tokio::test]
@@ -211,9 +211,9 @@
     let s = Server::start(vec![whole("late")]).await;
     let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[s.address]).await;
     let key = {
-        let mut known = g.site.known();
-        let key = known.roster.key("i-0").expect("it is listed");
-        known.roster.leave(key);
+        let mut view = g.site.view();
+        let key = view.roster.key("i-0").expect("it is listed");
+        view.roster.leave(key);
         key
     };
     let to = Target {
@@ -325,7 +325,7 @@
     while s.left.load(Ordering::Relaxed) == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(g.site.known().balance.own().count(), 0);
+    assert_eq!(g.site.view().balance.own().count(), 0);
 }
 
 #[tokio::test]
--- a/crates/limehollow-node/tests/restarts.rs
+++ b/crates/limehollow-node/tests/restarts.rs
@@ -34,9 +34,9 @@
 
 fn open_on(fleet: &Fleet, id: &str) -> Vec<Option<u64>> {
     let born = |v: &rig::fleet::Entry| {
-        let known = v.site.known();
-        let key = known.roster.key(id);
-        let e = key.and_then(|k| known.roster.get(k));
+        let view = v.site.view();
+        let key = view.roster.key(id);
+        let e = key.and_then(|k| view.roster.get(k));
         e.filter(|e| !e.leaving).and_then(|e| e.instance.born)
     };
     fleet.vms.iter().map(born).collect()
@@ -56,7 +56,7 @@
     }
     for v in &fleet.vms {
         assert!(
-            v.site.known().roster.unreadable().eq(["i-1"]),
+            v.site.view().roster.unreadable().eq(["i-1"]),
             "{}",
             v.site.me
         );
@@ -147,7 +147,7 @@
         orders_taken: 0,
     };
     site.report(Instant::now(), &r);
-    site.known().reports.add(r);
+    site.view().reports.add(r);
     site.urgent.notify_one();
     sleep(Duration::from_secs(1)).await;
     assert_eq!(open_on(&fleet, "i-0"), [Some(2_000); 4]);
--- a/crates/limehollow-node/tests/rig/crashing.rs
+++ b/crates/limehollow-node/tests/rig/crashing.rs
@@ -73,7 +73,7 @@
             let (sites, seen) = (Arc::clone(&site.sites), Arc::clone(&site.seen));
             tokio::spawn(endpoint_lives(sites, seen));
         }
-        while site.vms[0].site.known().roster.len() < endpoints {
+        while site.vms[0].site.view().roster.len() < endpoints {
             sleep(Duration::from_millis(5)).await;
         }
         site
@@ -88,11 +88,11 @@
             introduce(site, &sites);
         }
         let listed: Vec<Endpoint> = {
-            let known = sites[0].known();
-            known.roster.iter().map(|(_, e)| e.clone()).collect()
+            let view = sites[0].view();
+            view.roster.iter().map(|(_, e)| e.clone()).collect()
         };
         for e in listed {
-            g.site.known().list(Instant::now(), e);
+            g.site.view().list(Instant::now(), e);
         }
         drop(sites);
         self.vms.push(g);
@@ -109,8 +109,8 @@
     /// Ends all VMs at once and starts as many, which find nothing but the store.
     pub async fn restart_all(&mut self) {
         let listed: Vec<Endpoint> = {
-            let known = self.vms[0].site.known();
-            known.roster.iter().map(|(_, e)| e.clone()).collect()
+            let view = self.vms[0].site.view();
+            view.roster.iter().map(|(_, e)| e.clone()).collect()
         };
         self.sites.lock().expect("sound").clear();
         // Tasks of the former VMs go on, but nobody asks or tells those: the new ones have other addresses.
@@ -121,7 +121,7 @@
         }
         for vm in &self.vms {
             for e in &listed {
-                vm.site.known().list(Instant::now(), e.clone());
+                vm.site.view().list(Instant::now(), e.clone());
             }
         }
     }
@@ -148,13 +148,13 @@
     /// Lists all endpoints anew as other ones at their addresses, which don't leave.
     pub fn relist(&self) {
         for vm in &self.vms {
-            let mut known = vm.site.known();
-            let all: Vec<Endpoint> = known.roster.iter().map(|(_, e)| e.clone()).collect();
+            let mut view = vm.site.view();
+            let all: Vec<Endpoint> = view.roster.iter().map(|(_, e)| e.clone()).collect();
             for mut e in all {
-                known.drop_endpoint(Instant::now(), &e.instance.id);
+                view.drop_endpoint(Instant::now(), &e.instance.id);
                 e.instance.id = format_smolstr!("{}'", e.instance.id);
                 e.leaving = false;
-                known.list(Instant::now(), e);
+                view.list(Instant::now(), e);
             }
         }
     }
@@ -209,7 +209,7 @@
 fn introduce(site: &Arc<Site<Plain>>, others: &[Arc<Site<Plain>>]) {
     for other in others {
         let s = other.settings.load();
-        site.known().peers.learn(
+        site.view().peers.learn(
             s.name.as_str().into(),
             other.zone.clone(),
             s.peer_address(),
@@ -237,12 +237,12 @@
             copies: BTreeSet::new(),
         };
         for site in sites.lock().expect("sound").iter() {
-            site.known().list(Instant::now(), e.clone());
+            site.view().list(Instant::now(), e.clone());
         }
         start_until_crash(listener, Arc::clone(&seen)).await;
         sleep(RESTARTS_AFTER).await;
         for site in sites.lock().expect("sound").iter() {
-            site.known().drop_endpoint(Instant::now(), &e.instance.id);
+            site.view().drop_endpoint(Instant::now(), &e.instance.id);
         }
     }
 }
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -47,10 +47,9 @@
 
 impl Entry {
     fn has_open(&self, instance: &str) -> bool {
-        let known = self.site.known();
+        let view = self.site.view();
         let service = ServiceName::from("portal");
-        known
-            .roster
+        view.roster
             .open(&service)
             .any(|(_, e)| e.instance.id == instance)
     }
@@ -145,8 +144,8 @@
         let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
         let n = running.clone().count();
         let has_all = |v: &&Entry| {
-            let known = v.site.known();
-            v.site.catalog.load().is_some() && known.roster.len() >= endpoints
+            let view = v.site.view();
+            v.site.catalog.load().is_some() && view.roster.len() >= endpoints
         };
         while began.elapsed() < LOOK_FOR && running.clone().filter(has_all).count() < n {
             sleep(LOOK_EVERY).await;
@@ -169,7 +168,7 @@
     /// Gives the fewest VMs of its zone that a running VM knows, itself left out.
     pub fn fewest_neighbours(&self) -> usize {
         let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
-        let neighbours = running.map(|v| v.site.known().peers.neighbours().len());
+        let neighbours = running.map(|v| v.site.view().peers.neighbours().len());
         neighbours.min().unwrap_or(0)
     }
 
@@ -251,18 +250,18 @@
     }
 
     fn introduce_to(&self, vm: &Entry) {
-        let mut known = vm.site.known();
-        known.has_vms = true;
+        let mut view = vm.site.view();
+        view.has_vms = true;
         for other in &self.vms {
             let s = other.site.settings.load();
-            known.peers.learn(
+            view.peers.learn(
                 s.name.as_str().into(),
                 other.site.zone.clone(),
                 s.peer_address(),
                 s.millicores(),
             );
         }
-        known.note_vms(Instant::now(), 0);
+        view.note_vms(Instant::now(), 0);
     }
 
     fn run(&mut self, i: usize) {
@@ -375,7 +374,7 @@
             origin: address.ip().into(),
             timing,
         };
-        site.known()
+        site.view()
             .crash_watch
             .note_cut_off(Instant::now(), &start, c);
         site.note_crashed(&start);
@@ -385,8 +384,8 @@
     pub async fn refused_by_all(&self, request: Fingerprint) -> Duration {
         let began = Instant::now();
         let refuses = |v: &Entry| {
-            let known = v.site.known();
-            let standing = known.quarantine.standing(Instant::now(), request);
+            let view = v.site.view();
+            let standing = view.quarantine.standing(Instant::now(), request);
             v.tasks.is_empty() || matches!(standing, Standing::Quarantined(_))
         };
         while began.elapsed() < LOOK_FOR && !self.vms.iter().all(refuses) {
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -183,7 +183,7 @@
     async fn fetch_crashes(&self, from: SocketAddr) -> Result<Vec<CrashRecord>, String> {
         sleep(WAY).await;
         let (_, site) = self.0.reach(self.1, from).ok_or("cut off")?;
-        let records = site.known().quarantine.records(Instant::now());
+        let records = site.view().quarantine.records(Instant::now());
         self.0.note_crash_bytes(self.2, &records);
         Ok(records)
     }
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -331,7 +331,7 @@
         let site = Site::new(settings(), Plain);
         site.set_catalog(catalog(1, vec![rule]));
         for (i, address) in servers.iter().enumerate() {
-            site.known()
+            site.view()
                 .roster
                 .list(tokio::time::Instant::now(), endpoint(i, *address));
         }
--- a/crates/limehollow-node/tests/sums_in_parts.rs
+++ b/crates/limehollow-node/tests/sums_in_parts.rs
@@ -29,7 +29,7 @@
     );
     let site = Site::new(parse_settings(&own), Plain);
     for i in 0..endpoints {
-        site.known().list(Instant::now(), listed(i));
+        site.view().list(Instant::now(), listed(i));
     }
     site
 }
@@ -50,7 +50,7 @@
         ..Taken::default()
     };
     let rows: Vec<(Instance, Taken)> = busy.map(|i| (listed(i).instance, taken)).collect();
-    from.known().taken.insert("vm-9".into(), (now, rows));
+    from.view().taken.insert("vm-9".into(), (now, rows));
     let out = sender.outgoing(now);
     let zone = out.into_iter().filter(|(m, _)| m.scope == Scope::Zone);
     zone.map(|(m, _)| m).collect()
@@ -58,17 +58,17 @@
 
 /// Gives the endpoint to which another VM sends its next request.
 fn choice(site: &Site<Plain>) -> Option<Instance> {
-    let known = site.known();
+    let view = site.view();
     let bounds = Bounds {
         kv_tokens: None,
         reading_ms: f64::INFINITY,
     };
     let job = Job::plain(ServiceName::from("portal"), 0);
-    match known
+    match view
         .balance
-        .choose(Instant::now(), &known.roster, bounds, &job, &[])
+        .choose(Instant::now(), &view.roster, bounds, &job, &[])
     {
-        Choice::To(key, _) => known.roster.get(key).map(|e| e.instance.clone()),
+        Choice::To(key, _) => view.roster.get(key).map(|e| e.instance.clone()),
         _ => None,
     }
 }
@@ -78,7 +78,7 @@
     for endpoints in [1, 30, 1_000, 4_000] {
         let here = vm("vm-1", "a", "127.0.0.1", endpoints);
         let there = vm("vm-2", "b", "127.0.0.2", endpoints);
-        here.known().peers.learn(
+        here.view().peers.learn(
             "vm-2".into(),
             "b".into(),
             ([127, 0, 0, 2], 7000).into(),
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -64,7 +64,7 @@
     let mut r = rule("/a/", Repeat::Never, 1);
     r.stream = is_streamed;
     site.set_catalog(catalog(1, vec![r]));
-    site.known().list(site.now(), endpoint(0, to));
+    site.view().list(site.now(), endpoint(0, to));
     let socket = UdpSocket::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
@@ -125,25 +125,25 @@
 #[tokio::test(start_paused = true)]
 async fn copies_and_neighbours_are_old_after_a_suspension() {
     let site = site();
-    let mut known = site.known();
+    let mut view = site.view();
     let gap = Duration::from_secs(1);
-    known.readings.read(Feed::Endpoints, site.now(), gap);
-    known.peers.learn(
+    view.readings.read(Feed::Endpoints, site.now(), gap);
+    view.peers.learn(
         "vm-2".into(),
         site.zone.clone(),
         ([127, 0, 0, 2], 7000).into(),
         250,
     );
-    known.peers.receive(site.now(), "vm-2", 1, 1);
-    assert_eq!(known.peers.alive_here(site.now()), 2);
+    view.peers.receive(site.now(), "vm-2", 1, 1);
+    assert_eq!(view.peers.alive_here(site.now()), 2);
     site.clock.lose(AWAY);
     let now = site.now();
-    let f = known
+    let f = view
         .readings
         .freshness(Feed::Endpoints)
         .expect("it was read");
     assert_eq!(f.age(now), AWAY);
-    assert_eq!(known.peers.alive_here(now), 1);
+    assert_eq!(view.peers.alive_here(now), 1);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/limehollow-node/tests/workspaces.rs
+++ b/crates/limehollow-node/tests/workspaces.rs
@@ -50,12 +50,11 @@
     let all = vec![workspace("bookkeeping", "a secret", limit)];
     site.set_catalog(with(1, rules(), all));
     {
-        let mut known = site.known();
-        known.confirmation.confirm(Instant::now());
-        known.has_vms = true;
-        known.note_vms(Instant::now(), 0);
-        known
-            .roster
+        let mut view = site.view();
+        view.confirmation.confirm(Instant::now());
+        view.has_vms = true;
+        view.note_vms(Instant::now(), 0);
+        view.roster
             .list(Instant::now(), endpoint(0, server.address));
     }
     (Gateway::with(site).await, server)
@@ -120,7 +119,7 @@
     let (g, _server) = start(None).await;
     let ahead = ("vm-2".into(), LogPosition::new(0, 7));
     let feed = limehollow_node::edge::Feed::Configuration;
-    g.site.known().ahead.insert(feed, ahead);
+    g.site.view().ahead.insert(feed, ahead);
     let res = ask(&g, "/draft/1", "x-key: a new one\r\n").await;
     assert_eq!(status(&res), 503);
     assert!(res.contains("retry-after"), "{res}");
@@ -129,10 +128,10 @@
 #[tokio::test]
 async fn key_that_cant_be_confirmed_is_refused_and_open_rules_go_on() {
     let (g, server) = start(None).await;
-    g.site.known().confirmation = limehollow::confirmation::Confirmation::default();
+    g.site.view().confirmation = limehollow::confirmation::Confirmation::default();
     let long_ago = Instant::now().checked_sub(Duration::from_secs(5));
     g.site
-        .known()
+        .view()
         .confirmation
         .confirm(long_ago.expect("it ran for so long"));
     let res = ask(&g, "/draft/1", KEY).await;
@@ -166,12 +165,11 @@
         burst: 2.0,
     };
     let (g, _server) = start(Some(limit)).await;
-    g.site.known().set_unreadable(&"i-0".into());
+    g.site.view().set_unreadable(&"i-0".into());
     tokio::time::sleep(Duration::from_millis(600)).await;
     let held = |site: &Arc<Site<Plain>>| -> f64 {
-        let known = site.known();
-        known
-            .quotas
+        let view = site.view();
+        view.quotas
             .holdings()
             .map(|(_, own, pool)| own + pool)
             .sum()
