--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -45,7 +45,7 @@
     P: Protocol,
     S: Store,
 {
-    let member = format!("{}@{}", site.me, site.settings.load().ip);
+    let member = format!("{}@{}", site.own_vm, site.settings.load().ip);
     let mut failing = false;
     let mut joined = false;
     // Whether this VM's lease lapsed in an outage of the store that has not ended yet.
@@ -112,7 +112,7 @@
     let view = site.view();
     if joined {
         let holder = view.candidacy.holder(now);
-        return holder.is_none_or(|h| *h == site.me.as_str());
+        return holder.is_none_or(|h| *h == site.own_vm.as_str());
     }
     let rank = view.peers.candidate_rank(now).filter(|_| !view.is_starting);
     rank.is_some_and(|r| view.candidacy.stands(now, r))
@@ -215,7 +215,7 @@
     P: Protocol,
 {
     Notice {
-        vm: SmolStr::new(site.me.as_str()),
+        vm: SmolStr::new(site.own_vm.as_str()),
         fence: l.last_fence(),
         holds,
         last_order: l.last_order(),
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -203,9 +203,9 @@
     let all = view.quotas.subjects();
     let is_mine = |s: &&Subject| is_keeper(&view.peers, now, s);
     let mine: Arc<[Subject]> = all.filter(is_mine).cloned().collect();
-    let me = SmolStr::new(site.me.as_str());
+    let own_vm = SmolStr::new(site.own_vm.as_str());
     for s in mine.iter() {
-        if let Some(tokens) = view.quotas.hand_over(now, s, &me) {
+        if let Some(tokens) = view.quotas.hand_over(now, s, &own_vm) {
             view.quotas.collect(now, s, tokens);
         }
     }
@@ -222,7 +222,7 @@
     P: Protocol,
 {
     let about = About::Earnings {
-        keeper: SmolStr::new(site.me.as_str()),
+        keeper: SmolStr::new(site.own_vm.as_str()),
         vms_known: u16::try_from(site.view().quotas.vms()).unwrap_or(u16::MAX),
         subjects: subjects.to_vec(),
     };
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -98,7 +98,7 @@
             tracing::info!(vm = %w.from, %address, "a VM was heard of first from itself");
         }
         view.note_vms(now, usize::from(w.vms_known));
-        if let Some(r) = w.last_reader.filter(|r| r.vm != site.me.as_str()) {
+        if let Some(r) = w.last_reader.filter(|r| r.vm != site.own_vm.as_str()) {
             view.confirmation.note_reader(&r.vm, r.told(now));
         }
         let key = |(i, t): &(Instance, Taken)| Some((view.roster.find(i)?, *t));
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -274,7 +274,7 @@
             let e = view.roster.get(k)?;
             Some((e.instance.clone(), t))
         };
-        let me = SmolStr::new(self.site.me.as_str());
+        let own_vm = SmolStr::new(self.site.own_vm.as_str());
         Message {
             scope: Scope::Vm,
             forward: false,
@@ -296,7 +296,7 @@
             lease: own_notice(now, view),
             positions: view.positions,
             reading: view.readings.told(now),
-            last_reader: last_reader(now, &me, view),
+            last_reader: last_reader(now, &own_vm, view),
             crashes,
             crashes_digest: view.quarantine.digest(),
             reads_list: view.readings.reads(Feed::Endpoints),
@@ -304,7 +304,7 @@
             rates: Vec::new(),
             part: 0,
             parts: 1,
-            from: me,
+            from: own_vm,
         }
     }
 }
@@ -348,10 +348,10 @@
 }
 
 /// Gives who read the configuration last, of this VM and all that it has heard of.
-fn last_reader(now: Instant, me: &SmolStr, view: &SiteView) -> Option<LastReader> {
+fn last_reader(now: Instant, own_vm: &SmolStr, view: &SiteView) -> Option<LastReader> {
     let own = view.readings.last_read(Feed::Configuration);
     let other = view.confirmation.reader();
-    let last = own.map(|at| (me, at)).into_iter().chain(other);
+    let last = own.map(|at| (own_vm, at)).into_iter().chain(other);
     let (vm, at) = last.max_by_key(|(_, at)| *at)?;
     Some(LastReader::at(now, vm.clone(), at))
 }
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -36,7 +36,7 @@
     /// The settings, which may change while the process runs.
     pub settings: ArcSwap<NodeSettings>,
     /// This VM.
-    pub me: VmName,
+    pub own_vm: VmName,
     /// Its availability zone.
     pub zone: ZoneName,
     /// The configuration in force.
@@ -99,7 +99,7 @@
         let view = SiteView::new(&settings, clock.now());
         let (list_tx, list_rx) = mpsc::unbounded_channel();
         Arc::new(Self {
-            me: VmName::from(settings.name.as_str()),
+            own_vm: VmName::from(settings.name.as_str()),
             zone,
             settings: ArcSwap::from_pointee(settings),
             catalog: ArcSwapOption::empty(),
@@ -348,7 +348,7 @@
         let heard = heard.map(|(vm, t)| (vm.clone(), t.map(|t| t.as_millis())));
         let heard: BTreeMap<SmolStr, Option<u128>> = heard.collect();
         serde_json::json!({
-            "vm": self.me,
+            "vm": self.own_vm,
             "configuration": self.catalog.load().as_ref().map(|c| c.version),
             "positions": view.positions,
             "stopping": self.is_stopping(),
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -55,7 +55,7 @@
 #[expect(clippy::struct_excessive_bools, reason = "each says another thing")]
 pub struct SiteView {
     /// This VM.
-    me: Vm,
+    own_vm: Vm,
     /// The endpoints.
     pub roster: Roster,
     /// What is where.
@@ -143,7 +143,7 @@
     pub(crate) fn new(settings: &NodeSettings, now: Instant) -> Self {
         let zone = ZoneName::from(settings.availability_zone.as_str());
         Self {
-            me: Vm {
+            own_vm: Vm {
                 name: SmolStr::new(settings.name.as_str()),
                 zone: zone.clone(),
                 address: settings.peer_address(),
@@ -241,7 +241,7 @@
         if self.unlisted.get(&vm.name) == Some(&vm) {
             self.unlisted.remove(&vm.name);
         }
-        self.is_listed |= vm == self.me;
+        self.is_listed |= vm == self.own_vm;
         self.listed.insert(vm.name.clone(), vm);
     }
 
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -227,7 +227,7 @@
 where
     P: Protocol,
 {
-    let me = myself(site);
+    let own_vm = myself(site);
     let view = site.view();
     let others = view
         .peers
@@ -238,7 +238,7 @@
             address,
             millicores,
         });
-    let vms = others.chain([me]).map(|vm| Member {
+    let vms = others.chain([own_vm]).map(|vm| Member {
         is_listed: view.listed.get(&vm.name) == Some(&vm),
         vm: introduction(&vm),
     });
@@ -321,8 +321,8 @@
                 if site.view().is_listed {
                     continue;
                 }
-                let me = myself(&site);
-                site.view().unlisted.insert(me.name.clone(), me);
+                let own_vm = myself(&site);
+                site.view().unlisted.insert(own_vm.name.clone(), own_vm);
                 own_due = site.now() + jittered(pause);
                 pause = (pause * 2).min(LONGEST_ANNOUNCE_PAUSE);
             }
@@ -362,7 +362,7 @@
 fn myself<P>(site: &Site<P>) -> Vm {
     let settings = site.settings.load();
     Vm {
-        name: SmolStr::new(site.me.as_str()),
+        name: SmolStr::new(site.own_vm.as_str()),
         zone: site.zone.clone(),
         address: settings.peer_address(),
         millicores: settings.millicores(),
--- a/crates/limehollow-node/tests/departures.rs
+++ b/crates/limehollow-node/tests/departures.rs
@@ -213,7 +213,7 @@
                 !is_well || !fleet.uses(vm, endpoint),
                 "seed {seed}, {} VMs, endpoint {endpoint}, {treats:?} for {share:.2}: {}",
                 size.vms,
-                fleet.vms[vm].site.me
+                fleet.vms[vm].site.own_vm
             );
         }
     }
@@ -369,7 +369,7 @@
 
 /// Tells all VMs of the first zone that another one, which is of another zone, has read the configuration much further.
 fn misled(fleet: &Fleet, by: usize) {
-    let name = fleet.vms[by].site.me.as_str().into();
+    let name = fleet.vms[by].site.own_vm.as_str().into();
     let ahead = (name, LogPosition::new(0, 999));
     for i in fleet.zone(0) {
         let mut view = fleet.vms[i].site.view();
--- a/crates/limehollow-node/tests/restarts.rs
+++ b/crates/limehollow-node/tests/restarts.rs
@@ -58,7 +58,7 @@
         assert!(
             v.site.view().roster.unreadable().eq(["i-1"]),
             "{}",
-            v.site.me
+            v.site.own_vm
         );
     }
     // A later good entry brings it back.
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -480,7 +480,7 @@
                 assert!(
                     self.uses(i, endpoint),
                     "{} of {} VMs dropped a living endpoint",
-                    self.vms[i].site.me,
+                    self.vms[i].site.own_vm,
                     self.vms.len()
                 );
             }
@@ -505,7 +505,7 @@
             let Some(vm) = using.next_back() else {
                 return (began.elapsed(), last);
             };
-            last = vm.site.me.to_string();
+            last = vm.site.own_vm.to_string();
             sleep(LOOK_EVERY).await;
         }
         (LOOK_FOR, last)
