--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -479,7 +479,7 @@
     /// Gives how old the list is from which the endpoint was chosen.
     fn list_age(&self) -> Option<Duration> {
         let view = self.site.view();
-        let freshness = view.readings.freshness(Feed::Endpoints)?;
+        let freshness = view.feed_reads.freshness(Feed::Endpoints)?;
         Some(freshness.age(self.site.now()))
     }
 
--- a/crates/limehollow-node/src/reading.rs
+++ b/crates/limehollow-node/src/feed_reads.rs
@@ -20,12 +20,12 @@
 
 /// What is known of all copies.
 #[derive(Debug, Default)]
-pub struct Readings {
+pub struct FeedReads {
     rows: BTreeMap<Feed, Row>,
 }
 
 /// Queries.
-impl Readings {
+impl FeedReads {
     /// Gives how fresh a copy is; none while nothing has been read.
     #[must_use]
     pub fn freshness(&self, feed: Feed) -> Option<Freshness> {
@@ -81,7 +81,7 @@
 }
 
 /// Commands.
-impl Readings {
+impl FeedReads {
     /// Notes that a read was answered that began at this moment.
     ///
     /// The store may have been away since the copy was last complete, if a read failed after that or the gap is too
--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -324,7 +324,7 @@
     fn stale_at(&self, luck: f64) -> Option<Instant> {
         let patience = self.f.patience(luck);
         let view = self.f.site.view();
-        let freshness = view.readings.freshness(self.f.feed)?;
+        let freshness = view.feed_reads.freshness(self.f.feed)?;
         let due = freshness.complete_at() + self.pace()?.stale_after(luck) + patience;
         let keys = self.f.site.settings.load().key_bound();
         let keys = keys.filter(|_| self.f.feed == Feed::Configuration);
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -234,7 +234,7 @@
 
     /// Notes that a read that began at this moment failed.
     pub(crate) fn lose(&mut self, began: Instant, e: &StoreError) {
-        self.site.view().readings.fail(self.feed, began);
+        self.site.view().feed_reads.fail(self.feed, began);
         if self.lost.is_none() {
             tracing::warn!(feed = ?self.feed, error = %e, "store lost");
             self.lost = Some(self.site.now());
@@ -248,7 +248,7 @@
         }
         if let Some(pace) = self.site.settings.load().pace(self.feed) {
             let mut view = self.site.view();
-            view.readings.read(self.feed, began, pace.longest_gap());
+            view.feed_reads.read(self.feed, began, pace.longest_gap());
         }
         if let Some(since) = self.lost.take() {
             let away_ms = self.site.now().saturating_duration_since(since).as_millis();
@@ -357,7 +357,7 @@
     /// (`tests/departures.rs`).
     pub(crate) fn settled_at(&self) -> Option<Instant> {
         let view = self.site.view();
-        let freshness = view.readings.freshness(self.feed)?;
+        let freshness = view.feed_reads.freshness(self.feed)?;
         let returned = view.returned.map(|r| r.at);
         // An absence of a moment may lie between two calls; only the era shows it then.
         let sound_since =
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -204,7 +204,7 @@
         (Feed::Endpoints, "endpoints"),
     ];
     for (feed, what) in feeds {
-        if let Some(f) = view.readings.freshness(feed) {
+        if let Some(f) = view.feed_reads.freshness(feed) {
             let age = f.age(now).as_secs_f64();
             metrics.copy_age.get_or_create(&By { what }).observe(age);
         }
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -157,7 +157,7 @@
     let view = site.view();
     let others = view.peers.alive_here(now) - 1;
     let none_reads = others > 0 && view.peers.failing_here(now) == others;
-    none_reads && view.readings.is_failing(Feed::Endpoints)
+    none_reads && view.feed_reads.is_failing(Feed::Endpoints)
 }
 
 /// Has the other VMs take this one for the holder as long as the store is away, so that they don't join: each that does changes
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -148,7 +148,8 @@
     fn due(&self) -> Instant {
         let patience = self.f.patience(self.luck);
         let view = self.f.site.view();
-        let (Some(began), Some(freshness)) = (self.began, view.readings.freshness(Feed::Endpoints))
+        let (Some(began), Some(freshness)) =
+            (self.began, view.feed_reads.freshness(Feed::Endpoints))
         else {
             return self.retry_at;
         };
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -295,11 +295,11 @@
             list: Vec::new(),
             lease: own_notice(now, view),
             positions: view.positions,
-            reading: view.readings.told(now),
+            reading: view.feed_reads.told(now),
             last_reader: last_reader(now, &own_vm, view),
             crashes,
             crashes_digest: view.quarantine.digest(),
-            reads_list: view.readings.reads(Feed::Endpoints),
+            reads_list: view.feed_reads.reads(Feed::Endpoints),
             vms_known: u16::try_from(view.quotas.vms()).unwrap_or(u16::MAX),
             rates: Vec::new(),
             part: 0,
@@ -349,7 +349,7 @@
 
 /// Gives who read the configuration last, of this VM and all that it has heard of.
 fn last_reader(now: Instant, own_vm: &SmolStr, view: &SiteView) -> Option<LastReader> {
-    let own = view.readings.last_read(Feed::Configuration);
+    let own = view.feed_reads.last_read(Feed::Configuration);
     let other = view.confirmation.reader();
     let last = own.map(|at| (own_vm, at)).into_iter().chain(other);
     let (vm, at) = last.max_by_key(|(_, at)| *at)?;
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -1,11 +1,11 @@
 //! What a process knows of endpoints, load, demand, the other VMs and requests that crash endpoints.
 
 use crate::edge::{Feed, Vm};
+use crate::feed_reads::FeedReads;
 use crate::follower::position;
 use crate::logbook::may_log;
 use crate::outbox::Outbox;
 use crate::quarantine_sync::Said;
-use crate::reading::Readings;
 use crate::settings::NodeSettings;
 use crate::silence::Silences;
 use limehollow::arrivals::Arrivals;
@@ -89,7 +89,7 @@
     /// How far this process has read what it follows.
     pub positions: Positions,
     /// How fresh that is.
-    pub readings: Readings,
+    pub feed_reads: FeedReads,
     /// Endpoints that vanished around an outage and may come back: they are still in use.
     pub withheld: BTreeSet<SmolStr>,
     /// Endpoints that were removed lately, and in which era of the store.
@@ -165,7 +165,7 @@
             lease_notice: None,
             list_news: VecDeque::new(),
             positions: Positions::default(),
-            readings: Readings::default(),
+            feed_reads: FeedReads::default(),
             withheld: BTreeSet::new(),
             removed: BTreeMap::new(),
             doubtful: BTreeMap::new(),
--- a/crates/limehollow-node/tests/reading.rs
+++ b/crates/limehollow-node/tests/feed_reads.rs
@@ -2,7 +2,7 @@
 
 use limehollow::freshness::Freshness;
 use limehollow_node::edge::Feed;
-use limehollow_node::reading::Readings;
+use limehollow_node::feed_reads::FeedReads;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -13,7 +13,7 @@
     start + Duration::from_millis(ms)
 }
 
-fn told_age(r: &Readings, now: Instant) -> Option<u32> {
+fn told_age(r: &FeedReads, now: Instant) -> Option<u32> {
     r.told(now).endpoints.map(|a| a.complete_ms)
 }
 
@@ -21,7 +21,7 @@
 async fn told_only_what_was_read_here() {
     // Ages that are told on lose the time of the way at each VM: nobody would find the list old any more.
     let t = Instant::now();
-    let mut r = Readings::default();
+    let mut r = FeedReads::default();
     r.read(LIST, t, GAP);
     r.meet(LIST, Freshness::new(at(t, 1000), t), true, GAP);
     let now = at(t, 1100);
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn told_nothing_while_reads_fail() {
     let t = Instant::now();
-    let mut r = Readings::default();
+    let mut r = FeedReads::default();
     assert_eq!(told_age(&r, t), None);
     r.read(LIST, t, GAP);
     r.fail(LIST, at(t, 500));
@@ -49,7 +49,7 @@
 async fn read_after_failures_begins_anew() {
     let t = Instant::now();
     for (others_read_at, sound_since) in [(0, 900), (600, 0)] {
-        let mut r = Readings::default();
+        let mut r = FeedReads::default();
         r.read(LIST, t, GAP);
         r.fail(LIST, at(t, 500));
         // Where another VM read on after the failure, it was this VM's own.
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn read_after_a_long_gap_begins_anew() {
     let t = Instant::now();
-    let mut r = Readings::default();
+    let mut r = FeedReads::default();
     r.read(LIST, t, GAP);
     r.read(LIST, at(t, 2500), GAP);
     let f = r.freshness(LIST).expect("it was read");
@@ -74,7 +74,7 @@
 async fn meet_before_anything_was_read() {
     let t = Instant::now();
     let told = Freshness::new(at(t, 1000), t);
-    let mut r = Readings::default();
+    let mut r = FeedReads::default();
     r.meet(LIST, told, false, GAP);
     assert_eq!(r.freshness(LIST), None);
     r.meet(LIST, told, true, GAP);
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -127,7 +127,7 @@
     let site = site();
     let mut view = site.view();
     let gap = Duration::from_secs(1);
-    view.readings.read(Feed::Endpoints, site.now(), gap);
+    view.feed_reads.read(Feed::Endpoints, site.now(), gap);
     view.peers.learn(
         "vm-2".into(),
         site.zone.clone(),
@@ -139,7 +139,7 @@
     site.clock.lose(AWAY);
     let now = site.now();
     let f = view
-        .readings
+        .feed_reads
         .freshness(Feed::Endpoints)
         .expect("it was read");
     assert_eq!(f.age(now), AWAY);
