--- a/crates/limehollow-node/src/feed_reads.rs
+++ b/crates/limehollow-node/src/feed_reads.rs
@@ -40,7 +40,7 @@
 
     /// Tells whether this process can read a feed, as far as it has tried; one that has nothing yet can't.
     #[must_use]
-    pub fn reads(&self, feed: Feed) -> bool {
+    pub fn can_read(&self, feed: Feed) -> bool {
         self.rows.get(&feed).is_some_and(|r| r.failed.is_none())
     }
 
@@ -54,7 +54,7 @@
     /// Gives what goes with this process's whole state: what it read and what it was told, since the state may have
     /// come from others. It doesn't go round: a state is taken by who is behind it.
     #[must_use]
-    pub fn of_state(&self, now: Instant) -> Reading {
+    pub fn state_ages(&self, now: Instant) -> Reading {
         let ages = |feed| Some(Ages::at(now, self.freshness(feed)?));
         Reading {
             configuration: ages(Feed::Configuration),
@@ -67,7 +67,7 @@
     /// Only what this process read itself counts: were ages passed on that others told, each VM would take off the
     /// time of the way, and a zone in which nobody reads would go on taking its list for fresh.
     #[must_use]
-    pub fn told(&self, now: Instant) -> Reading {
+    pub fn own_ages(&self, now: Instant) -> Reading {
         let ages = |feed| {
             let row = self.rows.get(&feed)?;
             let own = Freshness::new(self.last_read(feed)?, row.freshness.sound_since());
@@ -86,7 +86,7 @@
     ///
     /// The store may have been away since the copy was last complete, if a read failed after that or the gap is too
     /// long.
-    pub fn read(&mut self, feed: Feed, began: Instant, longest_gap: Duration) {
+    pub fn record_read(&mut self, feed: Feed, began: Instant, longest_gap: Duration) {
         let Some(row) = self.rows.get_mut(&feed) else {
             let row = Row {
                 freshness: Freshness::first(began),
@@ -104,14 +104,14 @@
     }
 
     /// Notes that a read failed that began at this moment.
-    pub fn fail(&mut self, feed: Feed, began: Instant) {
+    pub fn record_failure(&mut self, feed: Feed, began: Instant) {
         if let Some(row) = self.rows.get_mut(&feed) {
             row.failed.get_or_insert(began);
         }
     }
 
     /// Takes in what another VM told; `has_all` says whether this copy holds all that the other has read.
-    pub fn meet(&mut self, feed: Feed, other: Freshness, has_all: bool, longest_gap: Duration) {
+    pub fn merge(&mut self, feed: Feed, other: Freshness, has_all: bool, longest_gap: Duration) {
         match self.rows.get_mut(&feed) {
             Some(row) => row.freshness = row.freshness.meet(other, has_all, longest_gap),
             None if has_all => {
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -234,7 +234,7 @@
 
     /// Notes that a read that began at this moment failed.
     pub(crate) fn lose(&mut self, began: Instant, e: &StoreError) {
-        self.site.view().feed_reads.fail(self.feed, began);
+        self.site.view().feed_reads.record_failure(self.feed, began);
         if self.lost.is_none() {
             tracing::warn!(feed = ?self.feed, error = %e, "store lost");
             self.lost = Some(self.site.now());
@@ -248,7 +248,8 @@
         }
         if let Some(pace) = self.site.settings.load().pace(self.feed) {
             let mut view = self.site.view();
-            view.feed_reads.read(self.feed, began, pace.longest_gap());
+            view.feed_reads
+                .record_read(self.feed, began, pace.longest_gap());
         }
         if let Some(since) = self.lost.take() {
             let away_ms = self.site.now().saturating_duration_since(since).as_millis();
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -286,7 +286,7 @@
     pub(crate) fn meet(&self, view: &mut SiteView, feed: Feed, other: Freshness, has_all: bool) {
         if let Some(pace) = self.settings.load().pace(feed) {
             let gap = pace.longest_gap();
-            view.feed_reads.meet(feed, other, has_all, gap);
+            view.feed_reads.merge(feed, other, has_all, gap);
         }
     }
 
@@ -304,7 +304,7 @@
         let listed = listed.chain(view.doubtful.values());
         State {
             positions: view.positions,
-            reading: view.feed_reads.of_state(self.now()),
+            reading: view.feed_reads.state_ages(self.now()),
             catalog: self.catalog.load().as_deref().cloned(),
             endpoints: listed.cloned().collect(),
             unreadable: view.roster.unreadable().cloned().collect(),
@@ -318,7 +318,7 @@
         let view = self.view();
         State {
             positions: view.positions,
-            reading: view.feed_reads.of_state(self.now()),
+            reading: view.feed_reads.state_ages(self.now()),
             catalog: self.catalog.load().as_deref().cloned(),
             evacuated: view.roster.evacuated().cloned().collect(),
             ..State::default()
--- a/crates/limehollow-node/tests/feed_reads.rs
+++ b/crates/limehollow-node/tests/feed_reads.rs
@@ -14,7 +14,7 @@
 }
 
 fn told_age(r: &FeedReads, now: Instant) -> Option<u32> {
-    r.told(now).endpoints.map(|a| a.complete_ms)
+    r.own_ages(now).endpoints.map(|a| a.complete_ms)
 }
 
 #[tokio::test]
@@ -22,13 +22,13 @@
     // Ages that are told on lose the time of the way at each VM: nobody would find the list old any more.
     let t = Instant::now();
     let mut r = FeedReads::default();
-    r.read(LIST, t, GAP);
-    r.meet(LIST, Freshness::new(at(t, 1000), t), true, GAP);
+    r.record_read(LIST, t, GAP);
+    r.merge(LIST, Freshness::new(at(t, 1000), t), true, GAP);
     let now = at(t, 1100);
     let age = r.freshness(LIST).map(|f| f.age(now));
     assert_eq!(age, Some(Duration::from_millis(100)));
     assert_eq!(told_age(&r, now), Some(1101));
-    let of_state = r.of_state(now).endpoints;
+    let of_state = r.state_ages(now).endpoints;
     assert_eq!(of_state.map(|a| a.complete_ms), Some(101));
 }
 
@@ -37,11 +37,11 @@
     let t = Instant::now();
     let mut r = FeedReads::default();
     assert_eq!(told_age(&r, t), None);
-    r.read(LIST, t, GAP);
-    r.fail(LIST, at(t, 500));
+    r.record_read(LIST, t, GAP);
+    r.record_failure(LIST, at(t, 500));
     assert!(r.is_failing(LIST));
     assert_eq!(told_age(&r, at(t, 600)), None);
-    r.read(LIST, at(t, 700), GAP);
+    r.record_read(LIST, at(t, 700), GAP);
     assert_eq!(told_age(&r, at(t, 700)), Some(1));
 }
 
@@ -50,11 +50,11 @@
     let t = Instant::now();
     for (others_read_at, sound_since) in [(0, 900), (600, 0)] {
         let mut r = FeedReads::default();
-        r.read(LIST, t, GAP);
-        r.fail(LIST, at(t, 500));
+        r.record_read(LIST, t, GAP);
+        r.record_failure(LIST, at(t, 500));
         // Where another VM read on after the failure, it was this VM's own.
-        r.meet(LIST, Freshness::new(at(t, others_read_at), t), true, GAP);
-        r.read(LIST, at(t, 900), GAP);
+        r.merge(LIST, Freshness::new(at(t, others_read_at), t), true, GAP);
+        r.record_read(LIST, at(t, 900), GAP);
         let f = r.freshness(LIST).expect("it was read");
         assert_eq!(f.sound_since(), at(t, sound_since), "{others_read_at}");
     }
@@ -64,8 +64,8 @@
 async fn read_after_a_long_gap_begins_anew() {
     let t = Instant::now();
     let mut r = FeedReads::default();
-    r.read(LIST, t, GAP);
-    r.read(LIST, at(t, 2500), GAP);
+    r.record_read(LIST, t, GAP);
+    r.record_read(LIST, at(t, 2500), GAP);
     let f = r.freshness(LIST).expect("it was read");
     assert_eq!(f.sound_since(), at(t, 2500));
 }
@@ -75,9 +75,9 @@
     let t = Instant::now();
     let told = Freshness::new(at(t, 1000), t);
     let mut r = FeedReads::default();
-    r.meet(LIST, told, false, GAP);
+    r.merge(LIST, told, false, GAP);
     assert_eq!(r.freshness(LIST), None);
-    r.meet(LIST, told, true, GAP);
+    r.merge(LIST, told, true, GAP);
     assert_eq!(r.freshness(LIST), Some(told));
     assert_eq!(told_age(&r, at(t, 1000)), None);
 }
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -127,7 +127,8 @@
     let site = site();
     let mut view = site.view();
     let gap = Duration::from_secs(1);
-    view.feed_reads.read(Feed::Endpoints, site.now(), gap);
+    view.feed_reads
+        .record_read(Feed::Endpoints, site.now(), gap);
     view.peers.learn(
         "vm-2".into(),
         site.zone.clone(),
