--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -225,7 +225,7 @@
             let at_work = &self.at_work;
             let resting = |k: EndpointKey| !at_work.contains(&k);
             let view = self.site.view();
-            let wanted = &view.wanted;
+            let wanted = &view.requested_loads;
             let moves = r.plan_adapters(now, &view.roster, service, engine, wanted, resting);
             drop(view);
             for (key, m) in moves {
@@ -250,7 +250,7 @@
             *sum.entry(m.clone()).or_default() += f64::from(*d);
         }
         // A request that waits is told at once, before the demand that it is part of.
-        for m in view.wanted.keys() {
+        for m in view.requested_loads.keys() {
             sum.entry(m.clone()).or_insert(WAITING_DEMAND);
         }
         sum
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -180,7 +180,7 @@
                 _ => (reason, after),
             };
             if let (Reason::NoModel | Reason::NoAdapter, Some(m)) = (reason, &self.job.model) {
-                self.site.want(m);
+                self.site.request_load(m);
             }
             let may_come_in_time = match reason {
                 Reason::Busy | Reason::NoAdapter => now < until,
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -250,7 +250,7 @@
                 .retain(|_, (at, _)| now.duration_since(*at) < DEMAND_LIFE);
             view.taken
                 .retain(|_, (at, _)| now.duration_since(*at) < MESSAGE_LIFE);
-            view.wanted
+            view.requested_loads
                 .retain(|_, at| now.duration_since(*at) < WANT_LIFE);
             for said in [&mut view.gone, &mut view.leaving] {
                 said.retain(|_, at| now.duration_since(*at) < GONE_SAID_FOR);
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -143,7 +143,8 @@
             }
             Scope::Zone | Scope::News => {}
         }
-        view.wanted.extend(w.wants.into_iter().map(|m| (m, now)));
+        view.requested_loads
+            .extend(w.wants.into_iter().map(|m| (m, now)));
         // A zone that repeats what is known here says nothing new, but is heard all the same.
         if let Some(notice) = w.lease
             && view.candidacy.hear(now, heard(now, notice))
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -132,7 +132,7 @@
             biased;
             () = site.clock.sleep_until(self.due) => Occasion::Due,
             () = site.urgent.notified() => Occasion::Changed,
-            () = site.wanting.notified() => Occasion::Wanted,
+            () = site.load_requested.notified() => Occasion::Wanted,
         };
         if occasion != Occasion::Due {
             wanted.notify_one();
@@ -168,7 +168,7 @@
         let mut own = self.own(now, view, told.here);
         own.rates = self.rates(now, view);
         own.reports = view.reports.take();
-        own.wants = std::mem::take(&mut view.wants).into_iter().collect();
+        own.wants = std::mem::take(&mut view.unsent_loads).into_iter().collect();
         let mut to = view.peers.told_here(now);
         if !own.wants.is_empty() {
             to.extend(controller(now, view).filter(|a| !to.contains(a)));
@@ -221,10 +221,10 @@
         let mut view = site.view();
         let view = &mut *view;
         let to = controller(now, view)?;
-        if view.wants.is_empty() {
+        if view.unsent_loads.is_empty() {
             return None;
         }
-        let wants = std::mem::take(&mut view.wants).into_iter().collect();
+        let wants = std::mem::take(&mut view.unsent_loads).into_iter().collect();
         let own = self.own(now, view, Vec::new());
         let message = Message {
             forward: false,
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -69,7 +69,7 @@
     /// Told when something has changed that the VMs of the zone should know at once.
     pub urgent: Notify,
     /// Told when a request waits for something that isn't loaded, which the controller should know at once.
-    pub wanting: Notify,
+    pub load_requested: Notify,
     /// Told when there is a VM that the store doesn't show.
     pub vm_unlisted: Notify,
     /// Questions to other VMs.
@@ -110,7 +110,7 @@
             metrics: Metrics::default(),
             changed: Notify::new(),
             urgent: Notify::new(),
-            wanting: Notify::new(),
+            load_requested: Notify::new(),
             crash_known: Notify::new(),
             quarantine_differs: Notify::new(),
             quarantine_unsaved: Notify::new(),
@@ -365,9 +365,9 @@
     }
 
     /// Takes in that a request waits here for something that isn't loaded, and tells the controller.
-    pub fn want(&self, m: &ModelRef) {
-        self.view().want(self.now(), m);
-        self.wanting.notify_one();
+    pub fn request_load(&self, m: &ModelRef) {
+        self.view().request_load(self.now(), m);
+        self.load_requested.notify_one();
     }
 
     /// Takes in what the controller knows of an endpoint.
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -77,9 +77,9 @@
     /// Starts of endpoints that said that they leave, and when that was heard.
     pub leaving: BTreeMap<Instance, Instant>,
     /// What requests wait for here that isn't loaded, until it is told.
-    pub wants: BTreeSet<ModelRef>,
+    pub unsent_loads: BTreeSet<ModelRef>,
     /// What requests of any VM wait for, and when that was last heard.
-    pub wanted: BTreeMap<ModelRef, Instant>,
+    pub requested_loads: BTreeMap<ModelRef, Instant>,
     /// Who holds the lease to give orders, as far as is known.
     pub candidacy: Candidacy,
     /// What this VM says of the lease itself, and until when.
@@ -159,8 +159,8 @@
             zone_parts: BTreeMap::new(),
             gone: BTreeMap::new(),
             leaving: BTreeMap::new(),
-            wants: BTreeSet::new(),
-            wanted: BTreeMap::new(),
+            unsent_loads: BTreeSet::new(),
+            requested_loads: BTreeMap::new(),
             candidacy: Candidacy::new(now),
             lease_notice: None,
             list_news: VecDeque::new(),
@@ -225,9 +225,9 @@
     }
 
     /// Takes in that a request waits here for something that isn't loaded.
-    pub(crate) fn want(&mut self, now: Instant, m: &ModelRef) {
-        self.wants.insert(m.clone());
-        self.wanted.insert(m.clone(), now);
+    pub(crate) fn request_load(&mut self, now: Instant, m: &ModelRef) {
+        self.unsent_loads.insert(m.clone());
+        self.requested_loads.insert(m.clone(), now);
     }
 
     /// Takes in where a VM is.
--- a/crates/limehollow-node/tests/left_alone.rs
+++ b/crates/limehollow-node/tests/left_alone.rs
@@ -49,7 +49,7 @@
                 model: format!("model-{}", i % 50).into(),
                 adapter: None,
             };
-            waiting.want(&m);
+            waiting.request_load(&m);
             sleep(Duration::from_millis(2)).await;
         }
     });
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -123,7 +123,7 @@
     assert_eq!(status(&got), 503);
     assert!(got.contains("retry-after: "), "{got}");
     assert_eq!(s.requests(), 0);
-    assert!(g.site.view().wants.iter().any(|m| m.model == "big"));
+    assert!(g.site.view().unsent_loads.iter().any(|m| m.model == "big"));
 }
 
 #[tokio::test]
