--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -13,7 +13,7 @@
 pub use crate::sender::{Outgoing, Sender};
 use crate::site::Site;
 use crate::site_view::SiteView;
-use crate::traffic::{self, Way};
+use crate::traffic::{self, Direction};
 use limehollow::balance::MESSAGE_LIFE;
 use limehollow::send_budget::{SendBudget, Urgency};
 use limehollow_wire::gossip::{Datagram, Message, decode, encode};
@@ -95,7 +95,7 @@
                 tracing::debug!(to = %a, error = %e, "a message was not sent");
             }
         }
-        traffic::count(metrics, Way::Sent, datagram, bytes.len(), sent);
+        traffic::count(metrics, Direction::Sent, datagram, bytes.len(), sent);
         traffic::count_held_back(metrics, datagram, to.len() - sent);
     }
 
@@ -157,7 +157,7 @@
                 continue;
             }
         };
-        traffic::count(&site.metrics, Way::Received, &datagram, n, 1);
+        traffic::count(&site.metrics, Direction::Received, &datagram, n, 1);
         let w = match datagram {
             Datagram::Message(w) => *w,
             Datagram::Question(q) => {
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -43,7 +43,7 @@
 
 /// How a datagram goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// This VM sends it.
     Sent,
     /// It came from another VM.
@@ -51,12 +51,12 @@
 }
 
 /// Counts a datagram of so many bytes, which goes to so many VMs.
-pub(crate) fn count(metrics: &Metrics, way: Way, d: &Datagram, bytes: usize, copies: usize) {
+pub(crate) fn count(metrics: &Metrics, way: Direction, d: &Datagram, bytes: usize, copies: usize) {
     let by = ByKind {
         kind: kind(d),
         way: match way {
-            Way::Sent => "sent",
-            Way::Received => "received",
+            Direction::Sent => "sent",
+            Direction::Received => "received",
         },
     };
     let (bytes, copies) = (whole(bytes), whole(copies));
