--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -37,13 +37,13 @@
 
 /// The way of this VM's datagrams, which share one budget.
 #[derive(Debug)]
-pub struct Outlet<P> {
+pub struct GossipSocket<P> {
     site: Arc<Site<P>>,
     socket: UdpSocket,
     budget: Mutex<SendBudget>,
 }
 
-impl<P> Outlet<P>
+impl<P> GossipSocket<P>
 where
     P: Protocol,
 {
@@ -109,7 +109,7 @@
 }
 
 /// Sends this VM's messages for as long as the process lives.
-pub async fn send<P>(site: Arc<Site<P>>, outlet: Arc<Outlet<P>>, wanted: Arc<Notify>)
+pub async fn send<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wanted: Arc<Notify>)
 where
     P: Protocol,
 {
@@ -118,7 +118,7 @@
         let outgoing = s.next(&wanted).await;
         note_lost_time(&site);
         for (message, to) in outgoing {
-            outlet.send_message(message, &to).await;
+            socket.send_message(message, &to).await;
         }
     }
 }
@@ -137,13 +137,13 @@
 }
 
 /// Takes in other VMs' messages for as long as the process lives.
-pub async fn receive<P>(site: Arc<Site<P>>, outlet: Arc<Outlet<P>>, wanted: Arc<Notify>)
+pub async fn receive<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wanted: Arc<Notify>)
 where
     P: Protocol,
 {
     let mut buf = vec![0; MAX_MESSAGE];
     loop {
-        let (n, from) = match outlet.socket.recv_from(&mut buf).await {
+        let (n, from) = match socket.socket.recv_from(&mut buf).await {
             Ok(came) => came,
             Err(e) => {
                 pause_after(&e).await;
@@ -162,7 +162,7 @@
             Datagram::Message(w) => *w,
             Datagram::Question(q) => {
                 let answer = Datagram::Answer(question::answer(&site, q));
-                outlet.send(&answer, &[from]).await;
+                socket.send(&answer, &[from]).await;
                 continue;
             }
             Datagram::Answer(a) => {
@@ -174,13 +174,13 @@
             wanted.notify_one();
         }
         if let Some((message, to)) = hear(&site, w) {
-            outlet.send_message(message, &to).await;
+            socket.send_message(message, &to).await;
         }
     }
 }
 
 /// Sends this VM's questions to other VMs for as long as the process lives.
-pub async fn send_questions<P>(site: Arc<Site<P>>, outlet: Arc<Outlet<P>>)
+pub async fn send_questions<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>)
 where
     P: Protocol,
 {
@@ -188,7 +188,7 @@
         return;
     };
     while let Some((to, q)) = rx.recv().await {
-        outlet.send(&Datagram::Question(q), &[to]).await;
+        socket.send(&Datagram::Question(q), &[to]).await;
     }
 }
 
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -53,7 +53,7 @@
         .map_err(|e| failed(&peers.to_string(), &e))?;
     let states = listen(&peers.to_string()).await?;
     let site = Site::new(settings, protocol);
-    let outlet = Arc::new(gossip::Outlet::new(Arc::clone(&site), socket));
+    let gossip_socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
     let store = Counted::new(store, &site.metrics);
     let (stop_tx, stop) = watch::channel(false);
     let wanted = Arc::new(Notify::new());
@@ -62,18 +62,18 @@
     tokio::spawn(quarantine_sync::follow_peers(Arc::clone(&site), HttpStates));
     tokio::spawn(gossip::send(
         Arc::clone(&site),
-        Arc::clone(&outlet),
+        Arc::clone(&gossip_socket),
         Arc::clone(&wanted),
     ));
     tokio::spawn(gossip::send_questions(
         Arc::clone(&site),
-        Arc::clone(&outlet),
+        Arc::clone(&gossip_socket),
     ));
     tokio::spawn(keys::confirm(Arc::clone(&site)));
     tokio::spawn(limits::keep_pools(Arc::clone(&site)));
     tokio::spawn(gossip::receive(
         Arc::clone(&site),
-        outlet,
+        gossip_socket,
         Arc::clone(&wanted),
     ));
     tokio::spawn(gossip::sweep(Arc::clone(&site)));
--- a/crates/limehollow-node/tests/rig/crashing.rs
+++ b/crates/limehollow-node/tests/rig/crashing.rs
@@ -191,14 +191,14 @@
     let mut r = rule("/a/", Repeat::Never, 1);
     r.stream = true;
     site.set_catalog(super::catalog(1, vec![r]));
-    let outlet = Arc::new(gossip::Outlet::new(Arc::clone(&site), socket));
+    let socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
     let wanted = Arc::new(Notify::new());
     tokio::spawn(gossip::send(
         Arc::clone(&site),
-        Arc::clone(&outlet),
+        Arc::clone(&socket),
         Arc::clone(&wanted),
     ));
-    tokio::spawn(gossip::receive(Arc::clone(&site), outlet, wanted));
+    tokio::spawn(gossip::receive(Arc::clone(&site), socket, wanted));
     let states = TcpListener::bind((ip, port)).await.expect("it is free too");
     tokio::spawn(peer_state::serve(Arc::clone(&site), states));
     tokio::spawn(quarantine_sync::follow_peers(Arc::clone(&site), HttpStates));
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -70,8 +70,8 @@
         .expect("a port is free");
     let wanted = Arc::new(Notify::new());
     // It is the task that says how much time was lost.
-    let outlet = Arc::new(gossip::Outlet::new(Arc::clone(&site), socket));
-    tokio::spawn(gossip::send(Arc::clone(&site), outlet, wanted));
+    let socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
+    tokio::spawn(gossip::send(Arc::clone(&site), socket, wanted));
     Gateway::with(site).await
 }
 
