--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -8,7 +8,7 @@
 use crate::logbook;
 use crate::metrics::{By, Metrics};
 use crate::question;
-pub use crate::receiver::hear;
+pub use crate::receiver::handle_message;
 use crate::sender::GONE_SAID_FOR;
 pub use crate::sender::{Outgoing, Sender};
 use crate::site::Site;
@@ -173,7 +173,7 @@
         if !w.wants.is_empty() {
             wanted.notify_one();
         }
-        if let Some((message, to)) = hear(&site, w) {
+        if let Some((message, to)) = handle_message(&site, w) {
             socket.send_message(message, &to).await;
         }
     }
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 /// Takes in another VM's message. Gives what is to be passed on, and to whom.
-pub fn hear<P>(site: &Site<P>, mut w: Message) -> Option<Outgoing>
+pub fn handle_message<P>(site: &Site<P>, mut w: Message) -> Option<Outgoing>
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -5,7 +5,7 @@
 use limehollow::crash_record::CrashRecord;
 use limehollow::log_position::LogPosition;
 use limehollow_node::edge::States;
-use limehollow_node::gossip::{Outgoing, hear};
+use limehollow_node::gossip::{Outgoing, handle_message};
 use limehollow_node::question;
 use limehollow_node::site::Site;
 use limehollow_wire::gossip::{About, Members, Question, State, encode_crashes, encode_state};
@@ -131,7 +131,7 @@
             tokio::spawn(async move {
                 sleep(WAY).await;
                 net.goes_on(address).await;
-                if let Some(on) = hear(&site, message) {
+                if let Some(on) = handle_message(&site, message) {
                     net.deliver(zone, on);
                 }
             });
--- a/crates/limehollow-node/tests/sums_in_parts.rs
+++ b/crates/limehollow-node/tests/sums_in_parts.rs
@@ -12,7 +12,7 @@
 use limehollow::instance::Instance;
 use limehollow::job::Job;
 use limehollow::roster::Endpoint;
-use limehollow_node::gossip::{Sender, hear};
+use limehollow_node::gossip::{Sender, handle_message};
 use limehollow_node::site::Site;
 use limehollow_wire::gossip::{Datagram, Message, Scope, encode};
 use rig::{Plain, endpoint, parse_settings};
@@ -97,7 +97,7 @@
                 let bytes = encode(&Datagram::Message(Box::new(m.clone())));
                 let bytes = bytes.expect("it can be written").len();
                 assert!(bytes <= MOST_BYTES, "{endpoints} endpoints: {bytes} B");
-                hear(&there, m);
+                handle_message(&there, m);
             }
             let chosen = choice(&there).expect("there are endpoints");
             let is_free = free.clone().any(|i| listed(i).instance == chosen);
