--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -77,7 +77,7 @@
         Arc::clone(&wanted),
     ));
     tokio::spawn(gossip::sweep(Arc::clone(&site)));
-    tokio::spawn(traffic::say(Arc::clone(&site)));
+    tokio::spawn(traffic::log_totals(Arc::clone(&site)));
     tokio::spawn(controller::run(
         Arc::clone(&site),
         store,
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -124,7 +124,7 @@
 }
 
 /// Says from time to time what was sent, received and asked of the store so far, for as long as the process lives.
-pub async fn say<P>(site: Arc<Site<P>>)
+pub async fn log_totals<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
 {
