--- a/crates/limehollow-node/src/clock.rs
+++ b/crates/limehollow-node/src/clock.rs
@@ -59,7 +59,7 @@
     }
 
     /// Lets the machine have been suspended for so long; only where a test sets the clock.
-    pub fn lose(&self, time: Duration) {
+    pub fn simulate_suspension(&self, time: Duration) {
         if let Source::Set(lost) = &self.source {
             lost.fetch_add(micros(time), Ordering::Relaxed);
         }
@@ -116,7 +116,7 @@
 
     /// Looks whether time was lost since the last look; if so, all that waits with this clock reckons anew. Gives how much
     /// it was.
-    pub fn look(&self) -> Option<Duration> {
+    pub fn detect_suspension(&self) -> Option<Duration> {
         let lost = micros(self.lost());
         let said = self.said.load(Ordering::Relaxed);
         let more = Duration::from_micros(lost.saturating_sub(said));
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -130,7 +130,7 @@
 where
     P: Protocol,
 {
-    if let Some(lost) = site.clock.look() {
+    if let Some(lost) = site.clock.detect_suspension() {
         site.metrics.suspensions.inc();
         tracing::warn!(lost_ms = lost.as_millis(), "this machine was suspended");
     }
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -49,7 +49,7 @@
     sleep(Duration::from_secs(8)).await;
     assert_eq!(fence(&site, &lease), Some(1));
     // The first thing after the machine goes on is an order: another VM has the lease by now.
-    site.clock.lose(AWAY);
+    site.clock.simulate_suspension(AWAY);
     assert_eq!(fence(&site, &lease), None);
     // Dealt the lease again, it waits until orders of the one in between can't arrive any more.
     sleep(Duration::from_secs(2)).await;
@@ -81,7 +81,7 @@
     let clock = Arc::clone(&g.site.clock);
     tokio::spawn(async move {
         sleep(Duration::from_millis(100)).await;
-        clock.lose(AWAY);
+        clock.simulate_suspension(AWAY);
     });
     let got = g.ask("/a/x", "").await;
     (got, began.elapsed())
@@ -115,7 +115,7 @@
     let key = EndpointKey::default();
     let c = pool.open(key, s.address).await.expect("it listens");
     pool.put(c).await;
-    clock.lose(AWAY);
+    clock.simulate_suspension(AWAY);
     assert!(pool.take(key).is_none(), "it rested for ten seconds");
     let c = pool.open(key, s.address).await.expect("it listens");
     pool.put(c).await;
@@ -137,7 +137,7 @@
     );
     view.peers.receive(site.now(), "vm-2", 1, 1);
     assert_eq!(view.peers.alive_here(site.now()), 2);
-    site.clock.lose(AWAY);
+    site.clock.simulate_suspension(AWAY);
     let now = site.now();
     let f = view
         .feed_reads
@@ -156,9 +156,9 @@
         tokio::spawn(async move { clock.sleep_until(due).await })
     };
     sleep(Duration::from_secs(1)).await;
-    clock.lose(Duration::from_secs(3));
-    assert_eq!(clock.look(), Some(Duration::from_secs(3)));
-    assert_eq!(clock.look(), None, "it is said once");
+    clock.simulate_suspension(Duration::from_secs(3));
+    assert_eq!(clock.detect_suspension(), Some(Duration::from_secs(3)));
+    assert_eq!(clock.detect_suspension(), None, "it is said once");
     sleep(Duration::from_millis(900)).await;
     assert!(!waiting.is_finished());
     sleep(Duration::from_millis(200)).await;
@@ -169,5 +169,5 @@
 fn clock_of_the_system_loses_nothing_while_it_runs() {
     let clock = Clock::system();
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(clock.look(), None);
+    assert_eq!(clock.detect_suspension(), None);
 }
