--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -196,7 +196,7 @@
             None => Err("no VM is heard that reads for the zone".to_owned()),
         };
         match members {
-            Ok(m) => start::learn(&self.f.site, &m),
+            Ok(m) => start::add_members(&self.f.site, &m),
             Err(why) => {
                 tracing::debug!(why, "the VMs of the site can't be asked for");
                 self.looks.push_front(now + jittered(ASK_AGAIN_AFTER));
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -158,7 +158,7 @@
     P: Protocol,
     S: Store,
 {
-    if !site.view().is_given {
+    if !site.view().has_peer_state {
         read(&site, &store).await;
     }
     loop {
--- a/crates/limehollow-node/src/question.rs
+++ b/crates/limehollow-node/src/question.rs
@@ -108,7 +108,7 @@
 {
     let reply = match q.about {
         About::Configuration => keys::confirmation(site),
-        About::Start(vm) => start::answer(site, &vm),
+        About::Start(vm) => start::assign_parent(site, &vm),
         About::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
         About::Place { job, tried } => place::answer(site, &job, &tried),
         About::Earnings {
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -114,7 +114,7 @@
         Self {
             start: rand::random(),
             number: 0,
-            seeds: start::named(&site.settings.load()),
+            seeds: start::seed_addresses(&site.settings.load()),
             summed: site.now(),
             due: site.now(),
             spoke: site.now(),
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -121,7 +121,7 @@
     /// Whether the VMs of the site were read from the store.
     pub has_vms: bool,
     /// Whether another VM handed its state over at the start.
-    pub is_given: bool,
+    pub has_peer_state: bool,
     /// Whether this VM is still getting to know the site.
     pub is_starting: bool,
     /// The VMs that the store shows.
@@ -185,7 +185,7 @@
             quotas: Quotas::new(settings.quota_allowance()),
             cold_specs: BTreeMap::new(),
             has_vms: false,
-            is_given: false,
+            has_peer_state: false,
             is_starting: false,
             listed: BTreeMap::new(),
             is_listed: false,
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -65,7 +65,7 @@
     T: States,
 {
     let began = site.now();
-    let mut named = named(&site.settings.load());
+    let mut named = seed_addresses(&site.settings.load());
     if named.is_empty() || is_named(&site.settings.load()) {
         return;
     }
@@ -93,7 +93,7 @@
 }
 
 /// Gives where the datagrams of the VMs arrive that the settings name, other than this one's.
-pub(crate) fn named(settings: &NodeSettings) -> Vec<SocketAddr> {
+pub(crate) fn seed_addresses(settings: &NodeSettings) -> Vec<SocketAddr> {
     let others = all_named(settings).filter(|ip| *ip != settings.ip);
     others
         .map(|ip| SocketAddr::new(ip, settings.peer_port))
@@ -190,8 +190,8 @@
     P: Protocol,
     T: States,
 {
-    learn(site, &state.members);
-    site.view().is_given = true;
+    add_members(site, &state.members);
+    site.view().has_peer_state = true;
     for feed in [Feed::Configuration, Feed::Endpoints] {
         let mut f = Follower::new(Arc::clone(site), states.clone(), feed);
         let vm = format_smolstr!("{giver}");
@@ -203,7 +203,7 @@
 }
 
 /// Takes in the VMs that another one knows.
-pub(crate) fn learn<P>(site: &Site<P>, members: &Members)
+pub(crate) fn add_members<P>(site: &Site<P>, members: &Members)
 where
     P: Protocol,
 {
@@ -267,7 +267,7 @@
 }
 
 /// Says to a VM that starts from whom it gets the state, and remembers it for those that follow.
-pub(crate) fn answer<P>(site: &Site<P>, said: &Introduction) -> Reply
+pub(crate) fn assign_parent<P>(site: &Site<P>, said: &Introduction) -> Reply
 where
     P: Protocol,
 {
