--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::attempt::{Room, Target};
 use crate::clock::Clock;
 use crate::edge::{Protocol, Store};
-use crate::lease::{SharedLease, fence, keep_lease};
+use crate::lease::{SharedLease, fence, maintain_lease};
 use crate::order_task::{Ended, Moved, OrderTask, SharedLateLoads, SharedLoadWindow};
 use crate::site::Site;
 use crate::site_view::SiteView;
@@ -58,7 +58,7 @@
         logged: site.now(),
         ended: ended_tx,
     };
-    tokio::spawn(keep_lease(Arc::clone(&site), store, lease, stop));
+    tokio::spawn(maintain_lease(Arc::clone(&site), store, lease, stop));
     let mut models_due = site.now();
     let mut adapters_due = site.now();
     let mut asked = false;
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -36,7 +36,7 @@
 
 /// Joins the group again and again while this VM stands for the lease or holds it; leaves it when the process
 /// ends, or when others stand.
-pub async fn keep_lease<P, S>(
+pub async fn maintain_lease<P, S>(
     site: Arc<Site<P>>,
     store: S,
     lease: SharedLease,
--- a/crates/limehollow-node/tests/lease_over_outage.rs
+++ b/crates/limehollow-node/tests/lease_over_outage.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use limehollow::group_lease::GroupLease;
-use limehollow_node::lease::{SharedLease, fence, keep_lease};
+use limehollow_node::lease::{SharedLease, fence, maintain_lease};
 use rig::fleet::{Fleet, Treats};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -21,7 +21,7 @@
     let lease: SharedLease = Arc::new(Mutex::new(GroupLease::new(BETWEEN)));
     let (_stop, stopped) = watch::channel(false);
     let (site, link) = (Arc::clone(&vm.site), vm.link.clone());
-    let kept = tokio::spawn(keep_lease(site, link, Arc::clone(&lease), stopped));
+    let kept = tokio::spawn(maintain_lease(site, link, Arc::clone(&lease), stopped));
     sleep(Duration::from_secs(8)).await;
     assert_eq!(fence(&vm.site, &lease), Some(1));
     fleet.treat(away, Treats::Away);
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -11,7 +11,7 @@
 use limehollow_node::clock::Clock;
 use limehollow_node::edge::Feed;
 use limehollow_node::gossip;
-use limehollow_node::lease::{SharedLease, fence, keep_lease};
+use limehollow_node::lease::{SharedLease, fence, maintain_lease};
 use limehollow_node::pool::Pool;
 use limehollow_node::site::Site;
 use rig::{
@@ -40,7 +40,7 @@
     let lease: SharedLease = Arc::new(Mutex::new(GroupLease::new(Duration::from_secs(3))));
     let (_stop, stopped) = watch::channel(false);
     let store = Memory::default();
-    tokio::spawn(keep_lease(
+    tokio::spawn(maintain_lease(
         Arc::clone(&site),
         store.clone(),
         Arc::clone(&lease),
