--- a/crates/limehollow-node/src/caller.rs
+++ b/crates/limehollow-node/src/caller.rs
@@ -53,7 +53,7 @@
     };
     tokio::pin!(stopped);
     loop {
-        let most = site.settings.load().most_callers();
+        let most = site.settings.load().max_caller_connections();
         crowd.note(connections.len(), most);
         tokio::select! {
             () = &mut stopped => break,
--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -154,7 +154,7 @@
         self.note_lease(fence, &catalog);
         let now = self.site.now();
         let demand = self.demand(now);
-        let ceiling = self.site.settings.load().ceiling();
+        let ceiling = self.site.settings.load().load_ceiling();
         for (service, spec) in &catalog.services {
             let Some(engine) = &spec.engine else { continue };
             let r = self.rebalancers.entry(service.clone()).or_default();
@@ -198,7 +198,7 @@
             let Some(engine) = &spec.engine else { continue };
             let window = self.store_loads.entry(service.clone()).or_default();
             let mut window = window.lock().unwrap_or_else(PoisonError::into_inner);
-            window.assume_full(before, engine, settings.ceiling());
+            window.assume_full(before, engine, settings.load_ceiling());
         }
     }
 
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -403,7 +403,7 @@
     where
         F: FnOnce(&mut RepeatWindow, Instant, RepeatAllowance, usize) -> bool,
     {
-        let rules = self.site.settings.load().repeats();
+        let rules = self.site.settings.load().repeat_allowance();
         let mut view = self.site.view();
         let gateways = view.peers.known();
         let window = view.repeats.entry(self.job.service.clone()).or_default();
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -50,7 +50,7 @@
     /// Makes the way through a socket.
     #[must_use]
     pub fn new(site: Arc<Site<P>>, socket: UdpSocket) -> Self {
-        let rate = site.settings.load().messages_bytes_per_s();
+        let rate = site.settings.load().gossip_bytes_per_s();
         Self {
             budget: Mutex::new(SendBudget::new(site.now(), rate)),
             site,
@@ -100,7 +100,7 @@
     }
 
     fn may_send(&self, bytes: usize, urgency: Urgency) -> bool {
-        let rate = self.site.settings.load().messages_bytes_per_s();
+        let rate = self.site.settings.load().gossip_bytes_per_s();
         let now = self.site.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget.set_rate(now, rate);
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -228,7 +228,7 @@
         if r.copies.contains(model) {
             return true;
         }
-        let ceiling = self.site.settings.load().ceiling();
+        let ceiling = self.site.settings.load().load_ceiling();
         let mut window = self
             .store_loads
             .lock()
--- a/crates/limehollow-node/src/settings.rs
+++ b/crates/limehollow-node/src/settings.rs
@@ -186,13 +186,13 @@
 
     /// Gives how many bytes a second this VM may say to others, so that callers have the rest of its link.
     #[must_use]
-    pub fn messages_bytes_per_s(&self) -> f64 {
+    pub fn gossip_bytes_per_s(&self) -> f64 {
         self.link_mbps * BYTES_PER_MBIT * MESSAGES_SHARE
     }
 
     /// Gives how many connections of callers may be open at once.
     #[must_use]
-    pub fn most_callers(&self) -> usize {
+    pub fn max_caller_connections(&self) -> usize {
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -254,7 +254,7 @@
 
     /// Gives the zones in which a request may run, by the regions that are named for it; none where it may run in any.
     #[must_use]
-    pub fn zones_at_home(&self, homes: &[&[RegionName]]) -> Option<BTreeSet<ZoneName>> {
+    pub fn zones_in_regions(&self, homes: &[&[RegionName]]) -> Option<BTreeSet<ZoneName>> {
         let named: Vec<_> = homes.iter().filter(|h| !h.is_empty()).collect();
         if named.is_empty() {
             return None;
@@ -266,7 +266,7 @@
 
     /// Gives the budget for repeats.
     #[must_use]
-    pub fn repeats(&self) -> RepeatAllowance {
+    pub fn repeat_allowance(&self) -> RepeatAllowance {
         RepeatAllowance {
             ratio: self.repeat_ratio,
             slack: self.repeat_slack,
@@ -276,7 +276,7 @@
 
     /// Gives what the weight store allows.
     #[must_use]
-    pub fn ceiling(&self) -> LoadCeiling {
+    pub fn load_ceiling(&self) -> LoadCeiling {
         LoadCeiling {
             window: Duration::from_millis(self.load_window_ms),
             over: self.load_over,
