--- a/crates/limehollow-node/src/answer.rs
+++ b/crates/limehollow-node/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers of the gateway's own.
 
 use crate::edge::Protocol;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::relay::{Relay, millis};
 use crate::site::Site;
--- a/crates/limehollow-node/src/caller.rs
+++ b/crates/limehollow-node/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers' connections, the answer to the balancer's question, and how the process ends.
 
 use crate::edge::Protocol;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::request;
 use crate::site::Site;
 use crate::small_server::{self, ACCEPT_PAUSE};
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::crash_probe;
 use crate::edge::{Ask, Feed, Protocol, Sending};
 use crate::keys::Pass;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::passage;
 use crate::place;
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -1,7 +1,7 @@
 //! What all followers of the store share: taking changes in, and getting them from another VM.
 
 use crate::edge::{Change, Changes, Feed, Protocol, States, StoreError};
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::site::Site;
 use crate::start::jittered;
 use limehollow::log_position::LogPosition;
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -5,7 +5,7 @@
 //! it did. A lost datagram is made good by the next ([`limehollow::peers`], `docs/design/system.md`).
 
 use crate::edge::{Feed, Protocol};
-use crate::logbook;
+use crate::logging;
 use crate::metrics::{By, Metrics};
 use crate::question;
 pub use crate::receiver::handle_message;
@@ -260,7 +260,7 @@
             site.pool.sweep(is_there);
             site.control_pool.sweep(is_there);
         }
-        let out = logbook::refill();
+        let out = logging::refill();
         if out > 0 {
             site.metrics.lines_left_out.inc_by(out);
             tracing::warn!(lines = out, "log lines on requests were left out");
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -40,7 +40,7 @@
 pub mod lease;
 pub mod limits;
 mod list;
-pub mod logbook;
+pub mod logging;
 pub mod metrics;
 pub mod operator;
 mod order_task;
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::crash_probe;
 use crate::edge::Protocol;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::pool::Connection;
 use crate::site::Site;
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -5,7 +5,7 @@
 use crate::edge::{Ask, Passage, Protocol};
 use crate::keys::{self, Denied};
 use crate::limits::{self, Wish};
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::passage;
 use crate::relay::millis;
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -3,7 +3,7 @@
 use crate::edge::{Feed, Vm};
 use crate::feed_reads::FeedReads;
 use crate::follower::position;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::outbox::Outbox;
 use crate::quarantine_sync::Said;
 use crate::settings::NodeSettings;
