--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -146,7 +146,7 @@
         let until = self.arrived + self.rule.objective.mul_f64(WAIT_SHARE);
         let mut closed = Closed::default();
         loop {
-            let changed = self.site.changed.notified();
+            let changed = self.site.endpoints_changed.notified();
             let now = self.site.now();
             let standing = self.site.view().quarantine.standing(now, self.fingerprint);
             self.job.isolated = match standing {
@@ -204,7 +204,8 @@
 
     /// Waits until a prompt has been read or a request has ended, but no longer than this: then it looks again, or refuses.
     async fn until_eased(&self, at: Instant) {
-        self.until_told(at, self.site.eased.notified()).await;
+        self.until_told(at, self.site.capacity_freed.notified())
+            .await;
     }
 
     /// Waits until it is told that something has changed, but no longer than this: then it looks again, or refuses.
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -348,7 +348,7 @@
         let n = self.site.view().roster.len();
         let n = i64::try_from(n).unwrap_or(i64::MAX);
         self.site.metrics.endpoints.set(n);
-        self.site.changed.notify_waiters();
+        self.site.endpoints_changed.notify_waiters();
     }
 
     /// Gives until when entries that vanish may come back.
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -244,7 +244,7 @@
             view.quotas.set_cold_allowance(settings.cold_allowance());
             note_ages(now, view, &site.metrics);
             if view.roster.settle(now) {
-                site.changed.notify_waiters();
+                site.endpoints_changed.notify_waiters();
             }
             view.demand
                 .retain(|_, (at, _)| now.duration_since(*at) < DEMAND_LIFE);
--- a/crates/limehollow-node/src/hearing.rs
+++ b/crates/limehollow-node/src/hearing.rs
@@ -43,7 +43,7 @@
     if leaves {
         note_leaving(site, &to.instance, "the endpoint");
         // The other VMs may send to it meanwhile.
-        site.urgent.notify_one();
+        site.urgent_update.notify_one();
     }
 }
 
@@ -87,7 +87,7 @@
 {
     site.metrics.endpoints_said_leaving.inc();
     tracing::info!(%endpoint, by, "an endpoint says that it leaves");
-    site.changed.notify_waiters();
+    site.endpoints_changed.notify_waiters();
 }
 
 /// Says what changed of an endpoint's limit, and by whose word.
--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -203,7 +203,7 @@
             let notice = notice(site, l, false);
             view.candidacy.hear(now, notice.clone());
             view.lease_notice = Some((notice, now + RESIGNED_FOR));
-            site.urgent.notify_one();
+            site.urgent_update.notify_one();
         }
         l.drop_it();
     });
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -211,7 +211,7 @@
             Err(e) => {
                 self.f.lose(began, &e);
                 // Others may know at once that this VM doesn't read for them.
-                self.f.site.urgent.notify_one();
+                self.f.site.urgent_update.notify_one();
                 self.failures += 1;
                 self.retry_at = self.f.site.now() + self.pause();
                 self.fetch().await;
@@ -270,7 +270,7 @@
         let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
         if !reads_for_others {
             // The zone's reader was late: the others needn't read as well.
-            self.f.site.urgent.notify_one();
+            self.f.site.urgent_update.notify_one();
         }
     }
 
@@ -312,7 +312,7 @@
         let now = self.f.site.now();
         let parts = parts.into_iter().map(|p| (now, p));
         self.f.site.view().list_news.extend(parts);
-        self.f.site.urgent.notify_one();
+        self.f.site.urgent_update.notify_one();
     }
 }
 
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -382,7 +382,7 @@
         let now = self.site.now();
         self.site.report(now, &r);
         self.site.view().reports.add(r);
-        self.site.urgent.notify_one();
+        self.site.urgent_update.notify_one();
     }
 
     async fn report(&self) -> Option<EndpointReport> {
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -106,7 +106,7 @@
         }
         let now = self.site.now();
         self.site.view().balance.first(now, sent);
-        self.site.eased.notify_waiters();
+        self.site.capacity_freed.notify_waiters();
         let since = now.duration_since(self.arrived);
         self.site.metrics.first_byte.observe(since.as_secs_f64());
     }
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -131,7 +131,7 @@
         let occasion = tokio::select! {
             biased;
             () = site.clock.sleep_until(self.due) => Occasion::Due,
-            () = site.urgent.notified() => Occasion::Changed,
+            () = site.urgent_update.notified() => Occasion::Changed,
             () = site.load_requested.notified() => Occasion::Wanted,
         };
         if occasion != Occasion::Due {
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -53,9 +53,9 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Told whenever an endpoint or what it holds has changed.
-    pub changed: Notify,
+    pub endpoints_changed: Notify,
     /// Told when a prompt has been read, or a request has ended.
-    pub eased: Notify,
+    pub capacity_freed: Notify,
     /// Told when another VM has read the configuration further than this one.
     pub configuration_behind: Notify,
     /// Told when another VM has read the list of endpoints further than this one.
@@ -67,7 +67,7 @@
     /// Told when a request was quarantined, or cleared.
     pub quarantine_unsaved: Notify,
     /// Told when something has changed that the VMs of the zone should know at once.
-    pub urgent: Notify,
+    pub urgent_update: Notify,
     /// Told when a request waits for something that isn't loaded, which the controller should know at once.
     pub load_requested: Notify,
     /// Told when there is a VM that the store doesn't show.
@@ -108,8 +108,8 @@
             control_pool: Pool::new(Arc::clone(&clock)),
             clock,
             metrics: Metrics::default(),
-            changed: Notify::new(),
-            urgent: Notify::new(),
+            endpoints_changed: Notify::new(),
+            urgent_update: Notify::new(),
             load_requested: Notify::new(),
             crash_known: Notify::new(),
             quarantine_differs: Notify::new(),
@@ -117,7 +117,7 @@
             vm_unlisted: Notify::new(),
             questions: Questions::default(),
             lease_free: Notify::new(),
-            eased: Notify::new(),
+            capacity_freed: Notify::new(),
             configuration_behind: Notify::new(),
             endpoints_behind: Notify::new(),
             list_tx,
@@ -159,7 +159,7 @@
         view.set_cold_specs(now, cold);
         drop(view);
         self.catalog.store(Some(Arc::new(c)));
-        self.changed.notify_waiters();
+        self.endpoints_changed.notify_waiters();
         true
     }
 
@@ -171,7 +171,7 @@
             } else {
                 tracing::warn!(%zone, "the zone is taken back");
             }
-            self.changed.notify_waiters();
+            self.endpoints_changed.notify_waiters();
         }
     }
 
@@ -375,7 +375,7 @@
         let update = self.view().report(now, r);
         self.note_restart(&r.instance, update, "report");
         if update.is_news {
-            self.changed.notify_waiters();
+            self.endpoints_changed.notify_waiters();
         }
     }
 
@@ -383,7 +383,7 @@
     pub fn note_gone(&self, instance: &Instance) -> bool {
         let is_news = self.view().note_gone(self.now(), instance);
         if is_news {
-            self.urgent.notify_one();
+            self.urgent_update.notify_one();
         }
         is_news
     }
@@ -417,7 +417,7 @@
     pub fn note_crashed(&self, start: &Instance) {
         let ran_some = self.view().note_crashed(self.now(), start);
         if ran_some {
-            self.urgent.notify_one();
+            self.urgent_update.notify_one();
             self.quarantine_unsaved.notify_one();
         }
     }
@@ -441,7 +441,7 @@
 
     fn tell_cleared(&self, request: Fingerprint, by: &'static str) {
         tracing::info!(%request, by, "the request is cleared");
-        self.urgent.notify_one();
+        self.urgent_update.notify_one();
         self.quarantine_unsaved.notify_one();
     }
 
--- a/crates/limehollow-node/tests/restarts.rs
+++ b/crates/limehollow-node/tests/restarts.rs
@@ -148,7 +148,7 @@
     };
     site.report(Instant::now(), &r);
     site.view().reports.add(r);
-    site.urgent.notify_one();
+    site.urgent_update.notify_one();
     sleep(Duration::from_secs(1)).await;
     assert_eq!(open_on(&fleet, "i-0"), [Some(2_000); 4]);
 }
