--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -138,7 +138,7 @@
     pub(crate) fn note_position(&self, next: LogPosition) {
         let before = position(self.site.positions(), self.feed);
         if !before.is_start() && next.era() > before.era() {
-            self.site.note_return(next.era());
+            self.site.record_store_return(next.era());
         }
         let mut view = self.site.view();
         match self.feed {
@@ -216,7 +216,8 @@
         let now = self.site.now();
         if let Some(ages) = ages(state.reading, self.feed) {
             let mut view = self.site.view();
-            self.site.meet(&mut view, self.feed, ages.told(now), true);
+            self.site
+                .merge_freshness(&mut view, self.feed, ages.told(now), true);
         }
         let changes: Vec<Change> = match self.feed {
             Feed::Configuration => {
@@ -286,7 +287,7 @@
                     view.withheld.remove(&instance.id);
                     let update = view.list(now, e);
                     drop(view);
-                    self.site.note_restart(&instance, update, "list");
+                    self.site.log_restart(&instance, update, "list");
                     if leaving || update.is_news && !whole {
                         tracing::info!(%instance, leaving, ?learnt, %position, "endpoint listed");
                     }
@@ -359,7 +360,7 @@
     pub(crate) fn settled_at(&self) -> Option<Instant> {
         let view = self.site.view();
         let freshness = view.feed_reads.freshness(self.feed)?;
-        let returned = view.returned.map(|r| r.at);
+        let returned = view.store_return.map(|r| r.at);
         // An absence of a moment may lie between two calls; only the era shows it then.
         let sound_since =
             returned.map_or(freshness.sound_since(), |t| t.max(freshness.sound_since()));
@@ -369,7 +370,7 @@
     /// Gives until when entries are in doubt that were removed before the store's return.
     pub(crate) fn doubted_until(&self) -> Option<Instant> {
         let view = self.site.view();
-        Some(view.returned.filter(|_| !view.doubtful.is_empty())?.at + DOUBT)
+        Some(view.store_return.filter(|_| !view.doubtful.is_empty())?.at + DOUBT)
     }
 
     /// Takes in the entries that were in doubt for long enough: they would be gone by now if nobody wrote them.
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -55,7 +55,7 @@
     if !catalog.needs_key(rule) {
         return Ok(None);
     }
-    if !site.keys_count() {
+    if !site.keys_are_valid() {
         return Err(Denied::Unconfirmed);
     }
     let found = ask.key.and_then(|key| {
@@ -86,7 +86,7 @@
 {
     let catalog = site.catalog.load();
     let found = catalog.as_ref().and_then(|c| c.workspaces.find(&p.key));
-    site.keys_count() && found.is_some_and(|w| w.name == p.workspace)
+    site.keys_are_valid() && found.is_some_and(|w| w.name == p.workspace)
 }
 
 /// Says how fresh this VM's configuration is, to another VM.
@@ -124,7 +124,7 @@
             };
             ask(&site, to).await;
         }
-        let pause = if site.keys_count() {
+        let pause = if site.keys_are_valid() {
             bound.ask_every()
         } else {
             PAUSE_WHILE_REFUSING.min(bound.ask_every())
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -80,7 +80,7 @@
     S: Store,
     T: States,
 {
-    let Some(offers) = site.take_list_offers() else {
+    let Some(offers) = site.take_list_changes() else {
         tracing::error!("the list has a follower already");
         return;
     };
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -158,9 +158,9 @@
     hearing::hear_rates(site, &w.from, &w.rates);
     hearing::hear_leaving(site, &w.from, &w.leaving);
     // Since when the store is sound decides on removals among the changes.
-    site.note_peer(&w.from, w.positions, w.reading);
+    site.observe_peer(&w.from, w.positions, w.reading);
     for l in w.list {
-        site.offer_list(l);
+        site.offer_list_changes(l);
     }
 }
 
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -125,7 +125,7 @@
 
     /// Notes that the endpoint ran the request to its end: it doesn't crash those that run it.
     pub fn ran_to_end(&self) {
-        self.site.note_answer(self.request);
+        self.site.record_completed(self.request);
     }
 
     /// Ends the account of a whole answer.
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -165,8 +165,8 @@
                     Readiness::Not("no configuration, no endpoints, or told to end".to_owned())
                 };
                 ready_tx.send_replace(now);
-                site.show_crashing_requests();
-                site.show_backpressure();
+                site.update_quarantine_metrics();
+                site.update_backpressure_metrics();
             }
             Some(d) = asked.recv() => {
                 // Who asked may have gone.
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -199,12 +199,12 @@
         let Some(c) = catalog.as_ref().filter(|_| !self.is_stopping()) else {
             return false;
         };
-        let keys = c.workspaces.is_empty() || self.keys_count();
+        let keys = c.workspaces.is_empty() || self.keys_are_valid();
         keys && !self.view().roster.is_empty()
     }
 
     /// Tells whether this VM's configuration is fresh enough for its keys to count.
-    pub fn keys_count(&self) -> bool {
+    pub fn keys_are_valid(&self) -> bool {
         let Some(bound) = self.settings.load().key_bound() else {
             return true;
         };
@@ -212,7 +212,7 @@
     }
 
     /// Offers changes of the list that another VM of the zone has read to the follower of the list.
-    pub fn offer_list(&self, l: ListChanges) {
+    pub fn offer_list_changes(&self, l: ListChanges) {
         if l.to <= self.view().positions.endpoints {
             return;
         }
@@ -221,7 +221,7 @@
     }
 
     /// Takes the changes of the list that other VMs offer; there is one follower of the list.
-    pub fn take_list_offers(&self) -> Option<UnboundedReceiver<ListChanges>> {
+    pub fn take_list_changes(&self) -> Option<UnboundedReceiver<ListChanges>> {
         self.list_rx
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -234,13 +234,13 @@
     }
 
     /// Takes in that the store has come back from a copy: what was written there since the copy was made is gone.
-    pub(crate) fn note_return(&self, era: u64) {
+    pub(crate) fn record_store_return(&self, era: u64) {
         let now = self.now();
         let mut view = self.view();
-        if view.returned.is_some_and(|r| r.era >= era) {
+        if view.store_return.is_some_and(|r| r.era >= era) {
             return;
         }
-        view.returned = Some(StoreReturn { era, at: now });
+        view.store_return = Some(StoreReturn { era, at: now });
         tracing::warn!(era, "the store has come back from a copy");
         self.metrics.store_returns.inc();
         if view.peers.is_zone_leader(now) {
@@ -251,14 +251,14 @@
     }
 
     /// Takes in how far another VM has read and how fresh that is, and wakes the followers that are behind it.
-    pub fn note_peer(&self, vm: &SmolStr, p: Positions, r: Reading) {
+    pub fn observe_peer(&self, vm: &SmolStr, p: Positions, r: Reading) {
         let now = self.now();
         let mut view = self.view();
         for feed in [Feed::Configuration, Feed::Endpoints] {
             let (theirs, mine) = (position(p, feed), position(view.positions, feed));
             if let Some(ages) = ages(r, feed) {
                 let has_all = mine.holds(theirs) && !mine.is_start();
-                self.meet(&mut view, feed, ages.told(now), has_all);
+                self.merge_freshness(&mut view, feed, ages.told(now), has_all);
             }
             if theirs <= mine {
                 continue;
@@ -283,7 +283,13 @@
     }
 
     /// Takes in how fresh another VM's copy is; `has_all` says whether this process's holds all that is in it.
-    pub(crate) fn meet(&self, view: &mut SiteView, feed: Feed, other: Freshness, has_all: bool) {
+    pub(crate) fn merge_freshness(
+        &self,
+        view: &mut SiteView,
+        feed: Feed,
+        other: Freshness,
+        has_all: bool,
+    ) {
         if let Some(pace) = self.settings.load().pace(feed) {
             let gap = pace.longest_gap();
             view.feed_reads.merge(feed, other, has_all, gap);
@@ -373,7 +379,7 @@
     /// Takes in what the controller knows of an endpoint.
     pub fn report(&self, now: Instant, r: &HoldingsReport) {
         let update = self.view().report(now, r);
-        self.note_restart(&r.instance, update, "report");
+        self.log_restart(&r.instance, update, "report");
         if update.is_news {
             self.endpoints_changed.notify_waiters();
         }
@@ -389,7 +395,7 @@
     }
 
     /// Brings the metrics on requests that crash endpoints up to date.
-    pub(crate) fn show_crashing_requests(&self) {
+    pub(crate) fn update_quarantine_metrics(&self) {
         let view = self.view();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         let quarantined = view.quarantine.quarantined(self.now()).count();
@@ -399,7 +405,7 @@
     }
 
     /// Brings the metrics on endpoints that take less up to date.
-    pub(crate) fn show_backpressure(&self) {
+    pub(crate) fn update_backpressure_metrics(&self) {
         let view = self.view();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
         let wishes = &view.balance.backpressure;
@@ -432,7 +438,7 @@
     }
 
     /// Takes in that an endpoint has run a request to its end: it doesn't crash those that run it.
-    pub(crate) fn note_answer(&self, request: Fingerprint) {
+    pub(crate) fn record_completed(&self, request: Fingerprint) {
         let now = self.now();
         if self.view().quarantine.note_answer(now, request) {
             self.tell_cleared(request, "an endpoint that ran it");
@@ -446,7 +452,7 @@
     }
 
     /// Says so if an endpoint was seen to start again, and by whose word.
-    pub(crate) fn note_restart(&self, instance: &Instance, update: Update, by: &'static str) {
+    pub(crate) fn log_restart(&self, instance: &Instance, update: Update, by: &'static str) {
         if update.is_restart() {
             self.metrics.endpoint_restarts.inc();
             tracing::info!(%instance, by, "endpoint started again");
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -97,7 +97,7 @@
     /// Entries that the store shows since its return from a copy, of endpoints that were removed before: they are not in use.
     pub doubtful: BTreeMap<SmolStr, Endpoint>,
     /// The store's last return from a copy.
-    pub returned: Option<StoreReturn>,
+    pub store_return: Option<StoreReturn>,
     /// The VM that has read each feed furthest, and how far.
     pub ahead: BTreeMap<Feed, (SmolStr, LogPosition)>,
     /// The VM of this zone that has read the list furthest, and how far.
@@ -169,7 +169,7 @@
             withheld: BTreeSet::new(),
             removed: BTreeMap::new(),
             doubtful: BTreeMap::new(),
-            returned: None,
+            store_return: None,
             ahead: BTreeMap::new(),
             ahead_here: None,
             reports: Outbox::default(),
--- a/crates/limehollow-node/tests/following.rs
+++ b/crates/limehollow-node/tests/following.rs
@@ -129,7 +129,7 @@
         configuration: LogPosition::new(0, 99),
         ..Default::default()
     };
-    site.note_peer(&"vm-2".into(), ahead, Reading::default());
+    site.observe_peer(&"vm-2".into(), ahead, Reading::default());
     sleep(Duration::from_millis(800)).await;
     assert_eq!(version(&site), 4);
 }
@@ -150,7 +150,7 @@
         ..Default::default()
     };
     for _ in 0..20 {
-        site.note_peer(&"vm-2".into(), ahead, Reading::default());
+        site.observe_peer(&"vm-2".into(), ahead, Reading::default());
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(version(&site), 4);
@@ -179,7 +179,7 @@
         store.set_transfer(Duration::from_millis(300));
         store.add(Feed::Endpoints, listed(2));
         sleep(Duration::from_millis(50) * phase).await;
-        site.offer_list(ListChanges {
+        site.offer_list_changes(ListChanges {
             from: LogPosition::new(0, 1),
             to: LogPosition::new(0, 99),
             changes: vec![ListChange::Gone("i-2".into())],
--- a/crates/limehollow-node/tests/keys.rs
+++ b/crates/limehollow-node/tests/keys.rs
@@ -44,7 +44,7 @@
         let has = c
             .as_ref()
             .is_some_and(|c| c.workspaces.find(&KeyDigest::of(KEY)).is_some());
-        has && v.site.keys_count()
+        has && v.site.keys_are_valid()
     };
     fleet.vms.iter().filter(accepts).count()
 }
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -419,7 +419,7 @@
     /// Counts the VMs whose keys count.
     pub fn trusting(&self) -> usize {
         let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
-        running.filter(|v| v.site.keys_count()).count()
+        running.filter(|v| v.site.keys_are_valid()).count()
     }
 
     /// Puts this configuration into the store.
