--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -51,11 +51,11 @@
     };
     match view.crash_watch.note_cut_off(now, &to.instance, c) {
         Suspicion::New if was_replaced => {
-            view.note_crashed(now, &to.instance);
+            view.record_crash(now, &to.instance);
         }
         Suspicion::New => drop(tokio::spawn(ask(Arc::clone(site), to))),
         Suspicion::Pending => {}
-        Suspicion::Crashed => view.note_suspect(now, &to.instance, c),
+        Suspicion::Crashed => view.record_suspect(now, &to.instance, c),
     }
 }
 
@@ -80,7 +80,7 @@
         match ask_once(to.address).await {
             Finding::Listens => break,
             Finding::HasCrashed => {
-                site.note_crashed(&to.instance);
+                site.record_crash(&to.instance);
                 break;
             }
             Finding::Unclear => {}
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -369,11 +369,11 @@
         );
         match (f.shows, &self.job.model) {
             (Shows::OtherInstance, _) => {
-                self.site.note_gone(&to.instance);
+                self.site.record_gone(&to.instance);
                 tracing::info!(id = %self.ask.id, "another instance has the endpoint's address");
             }
             (Shows::NotHeld, Some(m)) => self.site.view().roster.unhold(to.key, m),
-            (Shows::NobodyListens, _) => self.site.note_crashed(&to.instance),
+            (Shows::NobodyListens, _) => self.site.record_crash(&to.instance),
             (Shows::NotHeld | Shows::ConnectionEnded | Shows::KeyGone | Shows::Nothing, _) => {}
         }
     }
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -278,7 +278,7 @@
                     seen.insert(e.instance.id.clone());
                     let (instance, leaving) = (e.instance.clone(), e.leaving);
                     let mut view = self.site.view();
-                    if whole && view.is_from_the_copy(&instance.id, position.era()) {
+                    if whole && view.may_be_from_copy(&instance.id, position.era()) {
                         tracing::info!(%instance, "an entry that was removed before the store's return is in doubt");
                         view.doubtful.insert(instance.id, e);
                         continue;
@@ -300,11 +300,11 @@
                 }
                 Change::Vm(vm) => {
                     let mut view = self.site.view();
-                    view.learn(&vm);
+                    view.add_vm(&vm);
                     if whole {
                         vms.push(vm);
                     } else {
-                        view.note_listed(vm);
+                        view.record_listed(vm);
                     }
                 }
                 Change::Evacuation { zone, begins } => {
@@ -326,8 +326,8 @@
         if whole && self.feed == Feed::Vms {
             let mut view = self.site.view();
             view.has_vms = true;
-            view.note_vms(now, 0);
-            if view.note_all_listed(vms) {
+            view.update_vm_count(now, 0);
+            if view.record_all_listed(vms) {
                 self.site.vm_unlisted.notify_one();
             }
         }
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -238,7 +238,7 @@
             view.warm_up(now);
             view.drop_limits();
             view.forget_removals(now);
-            view.note_vms(now, 0);
+            view.update_vm_count(now, 0);
             let settings = site.settings.load();
             view.quotas.set_allowance(now, settings.quota_allowance());
             view.quotas.set_cold_allowance(settings.cold_allowance());
--- a/crates/limehollow-node/src/hearing.rs
+++ b/crates/limehollow-node/src/hearing.rs
@@ -31,9 +31,9 @@
         view.set_limit(now, to.key);
     }
     if let Some(left) = s.cold {
-        view.note_cold(now, to.key, left);
+        view.record_cold(now, to.key, left);
     }
-    let leaves = s.leaving && view.note_leaving(now, &to.instance);
+    let leaves = s.leaving && view.record_leaving(now, &to.instance);
     drop(view);
     log_rate(&to.instance, heard.rate, "the endpoint");
     if let Some(rest) = heard.rest {
@@ -74,7 +74,7 @@
 {
     let now = site.now();
     for instance in leaving {
-        let is_news = site.view().note_leaving(now, instance);
+        let is_news = site.view().record_leaving(now, instance);
         if is_news {
             note_leaving(site, instance, by);
         }
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -180,7 +180,7 @@
         return;
     };
     let mut view = site.view();
-    view.note_vms(site.now(), usize::from(vms_known));
+    view.update_vm_count(site.now(), usize::from(vms_known));
     let mine = view.positions.configuration;
     let at = confirmed_ms.and_then(|ms| confirmed_at(asked, ms));
     if let Some(at) = at.filter(|_| !mine.is_start() && mine.holds(position)) {
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -158,7 +158,7 @@
 {
     let now = site.now();
     let mut view = site.view();
-    view.note_vms(now, vms_known);
+    view.update_vm_count(now, vms_known);
     let handed = subjects
         .iter()
         .map(|s| view.quotas.hand_over(now, s, keeper));
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -97,14 +97,14 @@
         {
             tracing::info!(vm = %w.from, %address, "a VM was heard of first from itself");
         }
-        view.note_vms(now, usize::from(w.vms_known));
+        view.update_vm_count(now, usize::from(w.vms_known));
         if let Some(r) = w.last_reader.filter(|r| r.vm != site.own_vm.as_str()) {
             view.confirmation.note_reader(&r.vm, r.told(now));
         }
         let key = |(i, t): &(Instance, Taken)| Some((view.roster.find(i)?, *t));
         let taken: Vec<(EndpointKey, Taken)> = w.taken.iter().filter_map(key).collect();
         for instance in &w.gone {
-            if view.note_gone(now, instance) {
+            if view.record_gone(now, instance) {
                 tracing::info!(%instance, by = %w.from, "an endpoint is gone");
             }
         }
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -386,8 +386,8 @@
     }
 
     /// Takes in that another start answers at an endpoint's address, and tells the other VMs. Gives whether it is news.
-    pub fn note_gone(&self, instance: &Instance) -> bool {
-        let is_news = self.view().note_gone(self.now(), instance);
+    pub fn record_gone(&self, instance: &Instance) -> bool {
+        let is_news = self.view().record_gone(self.now(), instance);
         if is_news {
             self.urgent_update.notify_one();
         }
@@ -420,8 +420,8 @@
     }
 
     /// Takes in that a start of an endpoint has crashed, and tells the other VMs what it ran.
-    pub fn note_crashed(&self, start: &Instance) {
-        let ran_some = self.view().note_crashed(self.now(), start);
+    pub fn record_crash(&self, start: &Instance) {
+        let ran_some = self.view().record_crash(self.now(), start);
         if ran_some {
             self.urgent_update.notify_one();
             self.quarantine_unsaved.notify_one();
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -231,13 +231,13 @@
     }
 
     /// Takes in where a VM is.
-    pub(crate) fn learn(&mut self, vm: &Vm) -> bool {
+    pub(crate) fn add_vm(&mut self, vm: &Vm) -> bool {
         let (name, zone) = (vm.name.clone(), vm.zone.clone());
         self.peers.learn(name, zone, vm.address, vm.millicores)
     }
 
     /// Notes that the store shows a VM.
-    pub(crate) fn note_listed(&mut self, vm: Vm) {
+    pub(crate) fn record_listed(&mut self, vm: Vm) {
         if self.unlisted.get(&vm.name) == Some(&vm) {
             self.unlisted.remove(&vm.name);
         }
@@ -246,11 +246,11 @@
     }
 
     /// Takes in all VMs that the store shows. Gives whether it has lost some that it showed before: they are to be written again.
-    pub(crate) fn note_all_listed(&mut self, vms: Vec<Vm>) -> bool {
+    pub(crate) fn record_all_listed(&mut self, vms: Vec<Vm>) -> bool {
         let before = std::mem::take(&mut self.listed);
         self.is_listed = false;
         for vm in vms {
-            self.note_listed(vm);
+            self.record_listed(vm);
         }
         let lost = before
             .into_iter()
@@ -262,7 +262,7 @@
     }
 
     /// Tells whether an entry that the store shows in this era was removed in an earlier one: it may be the copy's.
-    pub(crate) fn is_from_the_copy(&self, id: &str, era: u64) -> bool {
+    pub(crate) fn may_be_from_copy(&self, id: &str, era: u64) -> bool {
         let is_known = self.roster.key(id).is_some();
         !is_known && self.removed.get(id).is_some_and(|r| r.era < era)
     }
@@ -275,7 +275,7 @@
 
     /// Takes in how many VMs another one knows of; limits are shared among the most that any knows. It is zero where that
     /// one doesn't know yet.
-    pub fn note_vms(&mut self, now: Instant, told: usize) {
+    pub fn update_vm_count(&mut self, now: Instant, told: usize) {
         let read = if self.has_vms { self.peers.known() } else { 0 };
         self.quotas.set_vms(now, told.max(read));
     }
@@ -287,7 +287,7 @@
         let update = self.roster.list(now, e);
         self.forget(now, update.replaced, former);
         if let Some(key) = self.roster.key(&id) {
-            self.note_cold(now, key, cold);
+            self.record_cold(now, key, cold);
         }
         update
     }
@@ -298,7 +298,7 @@
         let update = self.roster.report(now, r);
         self.forget(now, update.replaced, former);
         if update.is_restart() {
-            self.note_start(now, &r.instance.id);
+            self.record_new_start(now, &r.instance.id);
         }
         update
     }
@@ -325,12 +325,12 @@
         let cold = self.roster.iter().filter(|(_, e)| e.cold_ms > 0);
         let cold: Vec<_> = cold.map(|(k, e)| (k, millis(e.cold_ms))).collect();
         for (key, left) in cold {
-            self.note_cold(now, key, left);
+            self.record_cold(now, key, left);
         }
     }
 
     /// Takes in that an endpoint is cold for so long, and bears less meanwhile.
-    pub(crate) fn note_cold(&mut self, now: Instant, key: EndpointKey, left: Duration) {
+    pub(crate) fn record_cold(&mut self, now: Instant, key: EndpointKey, left: Duration) {
         let Some(e) = self.roster.get(key).filter(|_| !left.is_zero()) else {
             return;
         };
@@ -347,12 +347,12 @@
     }
 
     /// Takes in that a start of an endpoint is new, of which only another VM's report tells: the list says later how cold it is.
-    fn note_start(&mut self, now: Instant, id: &SmolStr) {
+    fn record_new_start(&mut self, now: Instant, id: &SmolStr) {
         let key = self.roster.key(id);
         let service = key.and_then(|k| Some(&self.roster.get(k)?.service));
         let spec = service.and_then(|s| self.cold_specs.get(s)).copied();
         if let (Some(key), Some(spec)) = (key, spec) {
-            self.note_cold(now, key, spec.start);
+            self.record_cold(now, key, spec.start);
         }
     }
 
@@ -389,7 +389,7 @@
     ///
     /// The list shows a start that crashed for three heartbeats. While each of 300 VMs had to find out by itself, 805
     /// requests were sent to a former start within four seconds after 50 endpoints of 240 had crashed and come back.
-    pub(crate) fn note_gone(&mut self, now: Instant, instance: &Instance) -> bool {
+    pub(crate) fn record_gone(&mut self, now: Instant, instance: &Instance) -> bool {
         let Some(key) = self.roster.find(instance) else {
             return false;
         };
@@ -397,7 +397,7 @@
         if is_news {
             self.roster.leave(key);
             self.gone.insert(instance.clone(), now);
-            self.note_crashed(now, instance);
+            self.record_crash(now, instance);
         }
         is_news
     }
@@ -405,7 +405,7 @@
     /// Takes in that an endpoint says itself that it leaves. Gives whether that is news: the other VMs are told then.
     ///
     /// Its entry on the list may say so much later: an endpoint that leaves while the store is away can't write it.
-    pub(crate) fn note_leaving(&mut self, now: Instant, instance: &Instance) -> bool {
+    pub(crate) fn record_leaving(&mut self, now: Instant, instance: &Instance) -> bool {
         let is_news = self.roster.note_leaving(instance);
         if is_news {
             self.leaving.insert(instance.clone(), now);
@@ -439,21 +439,21 @@
         let Some(key) = gone else { return };
         self.balance.forget(key);
         if let Some(start) = start {
-            self.note_crashed(now, &start);
+            self.record_crash(now, &start);
         }
     }
 
     /// Takes in that a start of an endpoint has crashed: what it ran is suspect. Gives whether it ran anything.
-    pub(crate) fn note_crashed(&mut self, now: Instant, start: &Instance) -> bool {
+    pub(crate) fn record_crash(&mut self, now: Instant, start: &Instance) -> bool {
         let cut_off = self.crash_watch.note_crashed(start);
         for c in &cut_off {
-            self.note_suspect(now, start, *c);
+            self.record_suspect(now, start, *c);
         }
         !cut_off.is_empty()
     }
 
     /// Takes in that a request ran on a start of an endpoint when that crashed.
-    pub(crate) fn note_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
+    pub(crate) fn record_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
         let tag = StartTag::from(start);
         let from = (c.request, c.origin);
         let outcome = self.quarantine.note_crash(now, from, tag, c.timing);
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -213,13 +213,13 @@
         let Some(vm) = vm(&m.vm) else {
             continue;
         };
-        view.learn(&vm);
+        view.add_vm(&vm);
         if m.is_listed {
-            view.note_listed(vm);
+            view.record_listed(vm);
         }
     }
     view.has_vms |= members.has_all;
-    view.note_vms(now, 0);
+    view.update_vm_count(now, 0);
 }
 
 /// Gives the VMs that this one knows, itself too.
@@ -276,7 +276,7 @@
     };
     let now = site.now();
     let mut view = site.view();
-    view.learn(&vm);
+    view.add_vm(&vm);
     let (who, position) = ((vm.address, vm.millicores), view.positions.endpoints);
     let giver = view.start_tree.place(now, &vm.zone, who, position);
     if view.listed.get(&vm.name) != Some(&vm) {
@@ -382,7 +382,7 @@
     store.announce(&vms).await?;
     let mut view = site.view();
     for vm in vms {
-        view.note_listed(vm);
+        view.record_listed(vm);
     }
     Ok(())
 }
--- a/crates/limehollow-node/tests/endpoint_limits.rs
+++ b/crates/limehollow-node/tests/endpoint_limits.rs
@@ -29,7 +29,7 @@
     let mut gateways = Vec::new();
     for _ in 0..vms {
         let g = Gateway::start(rule("/draft/", Repeat::Never, 1), &[server.address]).await;
-        g.site.view().note_vms(Instant::now(), vms);
+        g.site.view().update_vm_count(Instant::now(), vms);
         gateways.push(g);
     }
     (server, gateways)
@@ -93,7 +93,7 @@
             let g = Gateway::start(rule("/draft/", Repeat::Never, 1), &[]).await;
             g.site.set_catalog(portal_is_cold_at_first());
             let mut view = g.site.view();
-            view.note_vms(Instant::now(), vms);
+            view.update_vm_count(Instant::now(), vms);
             let cold = Endpoint {
                 cold_ms: 60_000,
                 ..rig::endpoint(0, server.address)
--- a/crates/limehollow-node/tests/restarts.rs
+++ b/crates/limehollow-node/tests/restarts.rs
@@ -159,7 +159,7 @@
     let fleet = Fleet::start(3, 30, LEAVING_MS, 2).await;
     let site = &fleet.vms[29].site;
     let gone = endpoint(0, ([127, 0, 0, 1], 9000).into()).instance;
-    assert!(site.note_gone(&gone));
+    assert!(site.record_gone(&gone));
     let (took, last) = fleet.out_of_use(0).await;
     assert!(took <= Duration::from_millis(700), "{took:?} on {last}");
     fleet.always_used(1, Duration::from_secs(2)).await;
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -261,7 +261,7 @@
                 s.millicores(),
             );
         }
-        view.note_vms(Instant::now(), 0);
+        view.update_vm_count(Instant::now(), 0);
     }
 
     fn run(&mut self, i: usize) {
@@ -377,7 +377,7 @@
         site.view()
             .crash_watch
             .note_cut_off(Instant::now(), &start, c);
-        site.note_crashed(&start);
+        site.record_crash(&start);
     }
 
     /// Gives how long it takes from now on until all running VMs refuse a request.
--- a/crates/limehollow-node/tests/workspaces.rs
+++ b/crates/limehollow-node/tests/workspaces.rs
@@ -53,7 +53,7 @@
         let mut view = site.view();
         view.confirmation.confirm(Instant::now());
         view.has_vms = true;
-        view.note_vms(Instant::now(), 0);
+        view.update_vm_count(Instant::now(), 0);
         view.roster
             .list(Instant::now(), endpoint(0, server.address));
     }
