--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -124,7 +124,7 @@
         loop {
             self.site.endpoints_behind.notified().await;
             sleep(time).await;
-            if self.site.view().is_behind_here() {
+            if self.site.view().is_behind_zone() {
                 return;
             }
         }
@@ -180,7 +180,7 @@
     pub(crate) async fn fetch_ahead(&self) -> Option<PeerState> {
         let (vm, address) = {
             let view = self.site.view();
-            let (vm, at) = view.ahead.get(&self.feed)?;
+            let (vm, at) = view.furthest.get(&self.feed)?;
             if *at <= position(view.positions, self.feed) {
                 return None;
             }
@@ -202,7 +202,7 @@
 
     /// Forgets which VM has read furthest: it hands nothing over that is further. Who is ahead says so again.
     pub(crate) fn forget_ahead(&self) {
-        self.site.view().ahead.remove(&self.feed);
+        self.site.view().furthest.remove(&self.feed);
     }
 
     /// Takes in what another VM has read. Gives the new position, if it is further than this VM.
@@ -284,7 +284,7 @@
                         continue;
                     }
                     view.doubtful.remove(&instance.id);
-                    view.withheld.remove(&instance.id);
+                    view.held_removals.remove(&instance.id);
                     let update = view.list(now, e);
                     drop(view);
                     self.site.log_restart(&instance, update, "list");
@@ -404,7 +404,7 @@
         match self.settled_at().filter(|t| now < *t) {
             Some(due) => {
                 let held_ms = due.duration_since(now).as_millis();
-                if self.site.view().withheld.insert(id.clone()) {
+                if self.site.view().held_removals.insert(id.clone()) {
                     tracing::info!(instance = %id, held_ms, "a removal is held back");
                 }
             }
@@ -423,10 +423,10 @@
     /// Drops what was held back, once nothing can come back any more.
     pub(crate) fn drop_withheld(&mut self) {
         let is_settled = self.settled_at().is_none_or(|t| self.site.now() >= t);
-        if !is_settled || self.site.view().withheld.is_empty() {
+        if !is_settled || self.site.view().held_removals.is_empty() {
             return;
         }
-        let due = std::mem::take(&mut self.site.view().withheld);
+        let due = std::mem::take(&mut self.site.view().held_removals);
         for id in &due {
             self.drop_endpoint(id);
         }
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -173,7 +173,7 @@
     }
 
     fn settled_at(&self) -> Option<Instant> {
-        let holds_back = !self.f.site.view().withheld.is_empty();
+        let holds_back = !self.f.site.view().held_removals.is_empty();
         holds_back.then(|| self.f.settled_at()).flatten()
     }
 
@@ -311,7 +311,7 @@
         }
         let now = self.f.site.now();
         let parts = parts.into_iter().map(|p| (now, p));
-        self.f.site.view().list_news.extend(parts);
+        self.f.site.view().recent_list_changes.extend(parts);
         self.f.site.urgent_update.notify_one();
     }
 }
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -73,11 +73,11 @@
     let now = site.now();
     let mut view = site.view();
     let pace = pace_of_sums(view.peers.neighbours().len());
-    let last = view.passed_on.get(&(w.zone.clone(), w.part));
+    let last = view.relayed_at.get(&(w.zone.clone(), w.part));
     if last.is_some_and(|t| now.duration_since(*t) < pace) {
         return false;
     }
-    view.passed_on.insert((w.zone.clone(), w.part), now);
+    view.relayed_at.insert((w.zone.clone(), w.part), now);
     true
 }
 
@@ -114,7 +114,7 @@
                 if is_new && zone == site.zone {
                     view.peers.note_store(&w.from, w.reaches_store);
                     view.peers.note_list(&w.from, w.reads_list);
-                    view.note_ahead_here(&w.from, w.positions.endpoints);
+                    view.record_furthest_in_zone(&w.from, w.positions.endpoints);
                 }
                 if is_new && zone == site.zone && w.scope == Scope::Vm {
                     let from = VmName::from(w.from.as_str());
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -268,7 +268,7 @@
     fn own(&mut self, now: Instant, view: &mut SiteView, crashes: Vec<CrashRecord>) -> Message {
         self.number += 1;
         let fresh = |at: &Instant, life: Duration| now.duration_since(*at) < life;
-        view.list_news
+        view.recent_list_changes
             .retain(|(at, _)| fresh(at, LIST_REPEATED_FOR));
         let named = |(k, t): (EndpointKey, Taken)| {
             let e = view.roster.get(k)?;
@@ -372,7 +372,7 @@
 fn list_parts(view: &SiteView) -> Vec<Vec<ListChanges>> {
     let mut out: Vec<Vec<ListChanges>> = Vec::new();
     let mut room = 0;
-    for (_, l) in &view.list_news {
+    for (_, l) in &view.recent_list_changes {
         let n = l.changes.len().max(1);
         match out.last_mut().filter(|_| n <= room) {
             Some(part) => part.push(l.clone()),
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -263,9 +263,9 @@
             if theirs <= mine {
                 continue;
             }
-            let best = view.ahead.get(&feed).map(|(_, at)| *at);
+            let best = view.furthest.get(&feed).map(|(_, at)| *at);
             if Some(theirs) >= best {
-                view.ahead.insert(feed, (vm.clone(), theirs));
+                view.furthest.insert(feed, (vm.clone(), theirs));
             }
             if let Some(behind) = self.behind(feed) {
                 behind.notify_one();
@@ -306,7 +306,7 @@
         let members = start::members(self);
         let view = self.view();
         let listed = view.roster.iter().map(|(_, e)| e);
-        let listed = listed.filter(|e| !view.withheld.contains(&e.instance.id));
+        let listed = listed.filter(|e| !view.held_removals.contains(&e.instance.id));
         let listed = listed.chain(view.doubtful.values());
         State {
             positions: view.positions,
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -69,7 +69,7 @@
     /// What other VMs have at the endpoints, as the VMs of this zone said it last.
     pub taken: BTreeMap<VmName, (Instant, Vec<(Instance, Taken)>)>,
     /// When each part of another zone's sums was passed on last, by this VM.
-    pub passed_on: BTreeMap<(SmolStr, u8), Instant>,
+    pub relayed_at: BTreeMap<(SmolStr, u8), Instant>,
     /// In how many parts each zone said its sums last.
     pub zone_parts: BTreeMap<SmolStr, u8>,
     /// Starts of endpoints that are gone, though the list still shows them, and when that was learnt.
@@ -85,13 +85,13 @@
     /// What this VM says of the lease itself, and until when.
     pub lease_notice: Option<(Notice, Instant)>,
     /// Changes of the list that this VM read lately, for the VMs of its zone.
-    pub list_news: VecDeque<(Instant, ListChanges)>,
+    pub recent_list_changes: VecDeque<(Instant, ListChanges)>,
     /// How far this process has read what it follows.
     pub positions: Positions,
     /// How fresh that is.
     pub feed_reads: FeedReads,
     /// Endpoints that vanished around an outage and may come back: they are still in use.
-    pub withheld: BTreeSet<SmolStr>,
+    pub held_removals: BTreeSet<SmolStr>,
     /// Endpoints that were removed lately, and in which era of the store.
     pub removed: BTreeMap<SmolStr, Removal>,
     /// Entries that the store shows since its return from a copy, of endpoints that were removed before: they are not in use.
@@ -99,9 +99,9 @@
     /// The store's last return from a copy.
     pub store_return: Option<StoreReturn>,
     /// The VM that has read each feed furthest, and how far.
-    pub ahead: BTreeMap<Feed, (SmolStr, LogPosition)>,
+    pub furthest: BTreeMap<Feed, (SmolStr, LogPosition)>,
     /// The VM of this zone that has read the list furthest, and how far.
-    pub ahead_here: Option<(SmolStr, LogPosition)>,
+    pub furthest_in_zone: Option<(SmolStr, LogPosition)>,
     /// What the controller on this VM found out lately, for the other VMs.
     pub reports: Outbox,
     /// Whether this VM can't stand for the lease: its last call for it failed, or it was told to end.
@@ -155,7 +155,7 @@
             arrivals: Arrivals::default(),
             demand: BTreeMap::new(),
             taken: BTreeMap::new(),
-            passed_on: BTreeMap::new(),
+            relayed_at: BTreeMap::new(),
             zone_parts: BTreeMap::new(),
             gone: BTreeMap::new(),
             leaving: BTreeMap::new(),
@@ -163,15 +163,15 @@
             requested_loads: BTreeMap::new(),
             candidacy: Candidacy::new(now),
             lease_notice: None,
-            list_news: VecDeque::new(),
+            recent_list_changes: VecDeque::new(),
             positions: Positions::default(),
             feed_reads: FeedReads::default(),
-            withheld: BTreeSet::new(),
+            held_removals: BTreeSet::new(),
             removed: BTreeMap::new(),
             doubtful: BTreeMap::new(),
             store_return: None,
-            ahead: BTreeMap::new(),
-            ahead_here: None,
+            furthest: BTreeMap::new(),
+            furthest_in_zone: None,
             reports: Outbox::default(),
             lease_failing: false,
             peers: Peers::new(
@@ -198,29 +198,32 @@
 
     /// Tells whether another VM has read a feed further than this one.
     pub(crate) fn is_behind(&self, feed: Feed) -> bool {
-        let theirs = self.ahead.get(&feed).map(|(_, at)| *at);
+        let theirs = self.furthest.get(&feed).map(|(_, at)| *at);
         theirs > Some(position(self.positions, feed))
     }
 
     /// Takes in how far a VM of this zone has read the list.
-    pub(crate) fn note_ahead_here(&mut self, vm: &SmolStr, position: LogPosition) {
-        let best = self.ahead_here.as_ref().map(|(_, at)| *at);
+    pub(crate) fn record_furthest_in_zone(&mut self, vm: &SmolStr, position: LogPosition) {
+        let best = self.furthest_in_zone.as_ref().map(|(_, at)| *at);
         if Some(position) >= best && !position.is_start() {
-            self.ahead_here = Some((vm.clone(), position));
+            self.furthest_in_zone = Some((vm.clone(), position));
         }
     }
 
     /// Tells whether a VM of this zone has read the list further than this one. Other zones are read for at other moments: what
     /// they are ahead comes by the own zone's reader.
-    pub(crate) fn is_behind_here(&self) -> bool {
-        let theirs = self.ahead_here.as_ref().map(|(_, at)| *at);
+    pub(crate) fn is_behind_zone(&self) -> bool {
+        let theirs = self.furthest_in_zone.as_ref().map(|(_, at)| *at);
         theirs > Some(self.positions.endpoints)
     }
 
     /// Gives the VM from which a list is got that is further: one of this zone, if there is one.
-    pub(crate) fn ahead_in_list(&self) -> Option<&SmolStr> {
-        let here = self.ahead_here.as_ref().filter(|_| self.is_behind_here());
-        let any = self.ahead.get(&Feed::Endpoints);
+    pub(crate) fn furthest_in_list(&self) -> Option<&SmolStr> {
+        let here = self
+            .furthest_in_zone
+            .as_ref()
+            .filter(|_| self.is_behind_zone());
+        let any = self.furthest.get(&Feed::Endpoints);
         here.or(any).map(|(vm, _)| vm)
     }
 
@@ -375,7 +378,7 @@
 
     /// Takes an endpoint out of use whose entry can't be read. Gives whether it was in use.
     pub fn set_unreadable(&mut self, id: &SmolStr) -> bool {
-        self.withheld.remove(id);
+        self.held_removals.remove(id);
         let gone = self.roster.set_unreadable(id.clone());
         if let Some(key) = gone {
             // Its endpoint may well live: this says nothing of a crash.
@@ -415,7 +418,7 @@
 
     /// Drops an endpoint that is off the list. Gives whether it was there.
     pub fn drop_endpoint(&mut self, now: Instant, id: &str) -> bool {
-        self.withheld.remove(id);
+        self.held_removals.remove(id);
         let former = self.start_of(id);
         let gone = self.roster.remove(id);
         self.forget(now, gone, former);
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -153,7 +153,7 @@
 {
     let ahead = {
         let view = site.view();
-        let vm = view.ahead_in_list();
+        let vm = view.furthest_in_list();
         vm.and_then(|vm| view.peers.address(vm))
     };
     match ahead {
--- a/crates/limehollow-node/tests/departures.rs
+++ b/crates/limehollow-node/tests/departures.rs
@@ -373,7 +373,7 @@
     let ahead = (name, LogPosition::new(0, 999));
     for i in fleet.zone(0) {
         let mut view = fleet.vms[i].site.view();
-        view.ahead.insert(Feed::Configuration, ahead.clone());
+        view.furthest.insert(Feed::Configuration, ahead.clone());
     }
 }
 
--- a/crates/limehollow-node/tests/workspaces.rs
+++ b/crates/limehollow-node/tests/workspaces.rs
@@ -119,7 +119,7 @@
     let (g, _server) = start(None).await;
     let ahead = ("vm-2".into(), LogPosition::new(0, 7));
     let feed = limehollow_node::edge::Feed::Configuration;
-    g.site.view().ahead.insert(feed, ahead);
+    g.site.view().furthest.insert(feed, ahead);
     let res = ask(&g, "/draft/1", "x-key: a new one\r\n").await;
     assert_eq!(status(&res), 503);
     assert!(res.contains("retry-after"), "{res}");
