--- a/crates/limehollow-node/src/caller.rs
+++ b/crates/limehollow-node/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers' connections, the answer to the balancer's question, and how the process ends.
 
 use crate::edge::Protocol;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::request;
 use crate::site::Site;
 use crate::small_server::{self, ACCEPT_PAUSE};
@@ -53,7 +53,7 @@
     };
     tokio::pin!(stopped);
     loop {
-        let most = site.settings.load().most_callers();
+        let most = site.settings.load().max_caller_connections();
         crowd.note(connections.len(), most);
         tokio::select! {
             () = &mut stopped => break,
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -5,15 +5,15 @@
 //! it did. A lost datagram is made good by the next ([`limehollow::peers`], `docs/design/system.md`).
 
 use crate::edge::{Feed, Protocol};
-use crate::known::Known;
-use crate::logbook;
+use crate::logging;
 use crate::metrics::{By, Metrics};
 use crate::question;
-pub use crate::receiver::hear;
+pub use crate::receiver::handle_message;
 use crate::sender::GONE_SAID_FOR;
 pub use crate::sender::{Outgoing, Sender};
 use crate::site::Site;
-use crate::traffic::{self, Way};
+use crate::site_view::SiteView;
+use crate::traffic::{self, Direction};
 use limehollow::balance::MESSAGE_LIFE;
 use limehollow::send_budget::{SendBudget, Urgency};
 use limehollow_wire::gossip::{Datagram, Message, decode, encode};
@@ -37,20 +37,20 @@
 
 /// The way of this VM's datagrams, which share one budget.
 #[derive(Debug)]
-pub struct Outlet<P> {
+pub struct GossipSocket<P> {
     site: Arc<Site<P>>,
     socket: UdpSocket,
     budget: Mutex<SendBudget>,
 }
 
-impl<P> Outlet<P>
+impl<P> GossipSocket<P>
 where
     P: Protocol,
 {
     /// Makes the way through a socket.
     #[must_use]
     pub fn new(site: Arc<Site<P>>, socket: UdpSocket) -> Self {
-        let rate = site.settings.load().messages_bytes_per_s();
+        let rate = site.settings.load().gossip_bytes_per_s();
         Self {
             budget: Mutex::new(SendBudget::new(site.now(), rate)),
             site,
@@ -95,12 +95,12 @@
                 tracing::debug!(to = %a, error = %e, "a message was not sent");
             }
         }
-        traffic::count(metrics, Way::Sent, datagram, bytes.len(), sent);
+        traffic::count(metrics, Direction::Sent, datagram, bytes.len(), sent);
         traffic::count_held_back(metrics, datagram, to.len() - sent);
     }
 
     fn may_send(&self, bytes: usize, urgency: Urgency) -> bool {
-        let rate = self.site.settings.load().messages_bytes_per_s();
+        let rate = self.site.settings.load().gossip_bytes_per_s();
         let now = self.site.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget.set_rate(now, rate);
@@ -109,7 +109,7 @@
 }
 
 /// Sends this VM's messages for as long as the process lives.
-pub async fn send<P>(site: Arc<Site<P>>, outlet: Arc<Outlet<P>>, wanted: Arc<Notify>)
+pub async fn send<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wanted: Arc<Notify>)
 where
     P: Protocol,
 {
@@ -118,7 +118,7 @@
         let outgoing = s.next(&wanted).await;
         note_lost_time(&site);
         for (message, to) in outgoing {
-            outlet.send_message(message, &to).await;
+            socket.send_message(message, &to).await;
         }
     }
 }
@@ -130,20 +130,20 @@
 where
     P: Protocol,
 {
-    if let Some(lost) = site.clock.look() {
+    if let Some(lost) = site.clock.detect_suspension() {
         site.metrics.suspensions.inc();
         tracing::warn!(lost_ms = lost.as_millis(), "this machine was suspended");
     }
 }
 
 /// Takes in other VMs' messages for as long as the process lives.
-pub async fn receive<P>(site: Arc<Site<P>>, outlet: Arc<Outlet<P>>, wanted: Arc<Notify>)
+pub async fn receive<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wanted: Arc<Notify>)
 where
     P: Protocol,
 {
     let mut buf = vec![0; MAX_MESSAGE];
     loop {
-        let (n, from) = match outlet.socket.recv_from(&mut buf).await {
+        let (n, from) = match socket.socket.recv_from(&mut buf).await {
             Ok(came) => came,
             Err(e) => {
                 pause_after(&e).await;
@@ -157,12 +157,12 @@
                 continue;
             }
         };
-        traffic::count(&site.metrics, Way::Received, &datagram, n, 1);
+        traffic::count(&site.metrics, Direction::Received, &datagram, n, 1);
         let w = match datagram {
             Datagram::Message(w) => *w,
             Datagram::Question(q) => {
                 let answer = Datagram::Answer(question::answer(&site, q));
-                outlet.send(&answer, &[from]).await;
+                socket.send(&answer, &[from]).await;
                 continue;
             }
             Datagram::Answer(a) => {
@@ -173,14 +173,14 @@
         if !w.wants.is_empty() {
             wanted.notify_one();
         }
-        if let Some((message, to)) = hear(&site, w) {
-            outlet.send_message(message, &to).await;
+        if let Some((message, to)) = handle_message(&site, w) {
+            socket.send_message(message, &to).await;
         }
     }
 }
 
 /// Sends this VM's questions to other VMs for as long as the process lives.
-pub async fn send_questions<P>(site: Arc<Site<P>>, outlet: Arc<Outlet<P>>)
+pub async fn send_questions<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>)
 where
     P: Protocol,
 {
@@ -188,7 +188,7 @@
         return;
     };
     while let Some((to, q)) = rx.recv().await {
-        outlet.send(&Datagram::Question(q), &[to]).await;
+        socket.send(&Datagram::Question(q), &[to]).await;
     }
 }
 
@@ -198,13 +198,13 @@
 }
 
 /// Notes how old the copies of the feeds are that have a bound.
-fn note_ages(now: Instant, known: &Known, metrics: &Metrics) {
+fn note_ages(now: Instant, view: &SiteView, metrics: &Metrics) {
     let feeds = [
         (Feed::Configuration, "configuration"),
         (Feed::Endpoints, "endpoints"),
     ];
     for (feed, what) in feeds {
-        if let Some(f) = known.readings.freshness(feed) {
+        if let Some(f) = view.feed_reads.freshness(feed) {
             let age = f.age(now).as_secs_f64();
             metrics.copy_age.get_or_create(&By { what }).observe(age);
         }
@@ -212,11 +212,11 @@
 }
 
 /// Forgets requests under which endpoints crashed too long ago, also where that is kept outside this process.
-fn forget_crashes(now: Instant, known: &mut Known) {
-    for request in known.quarantine.sweep(now) {
+fn forget_crashes(now: Instant, view: &mut SiteView) {
+    for request in view.quarantine.sweep(now) {
         tracing::info!(%request, "a quarantined request is forgotten");
-        if known.peers.is_zone_leader(now) {
-            known.quarantine.save(request);
+        if view.peers.is_zone_leader(now) {
+            view.quarantine.save(request);
         }
     }
 }
@@ -231,39 +231,36 @@
         ticks.tick().await;
         let now = site.now();
         {
-            let mut known = site.known();
-            let known: &mut Known = &mut known;
-            known.balance.refresh(now);
-            forget_crashes(now, known);
-            known.warm_up(now);
-            known.drop_limits();
-            known.forget_removals(now);
-            known.note_vms(now, 0);
+            let mut view = site.view();
+            let view: &mut SiteView = &mut view;
+            view.balance.refresh(now);
+            forget_crashes(now, view);
+            view.warm_up(now);
+            view.drop_limits();
+            view.forget_removals(now);
+            view.update_vm_count(now, 0);
             let settings = site.settings.load();
-            known.quotas.set_allowance(now, settings.quota_allowance());
-            known.quotas.set_cold_allowance(settings.cold_allowance());
-            note_ages(now, known, &site.metrics);
-            if known.roster.apply_held_back(now) {
-                site.changed.notify_waiters();
+            view.quotas.set_allowance(now, settings.quota_allowance());
+            view.quotas.set_cold_allowance(settings.cold_allowance());
+            note_ages(now, view, &site.metrics);
+            if view.roster.apply_held_back(now) {
+                site.endpoints_changed.notify_waiters();
             }
-            known
-                .demand
+            view.demand
                 .retain(|_, (at, _)| now.duration_since(*at) < DEMAND_LIFE);
-            known
-                .taken
+            view.taken
                 .retain(|_, (at, _)| now.duration_since(*at) < MESSAGE_LIFE);
-            known
-                .wanted
+            view.requested_loads
                 .retain(|_, at| now.duration_since(*at) < WANT_LIFE);
-            for said in [&mut known.gone, &mut known.leaving] {
+            for said in [&mut view.gone, &mut view.leaving] {
                 said.retain(|_, at| now.duration_since(*at) < GONE_SAID_FOR);
             }
-            let is_there = |k| known.roster.get(k).is_some();
-            known.crash_watch.sweep(now);
+            let is_there = |k| view.roster.get(k).is_some();
+            view.crash_watch.sweep(now);
             site.pool.sweep(is_there);
             site.control_pool.sweep(is_there);
         }
-        let out = logbook::refill();
+        let out = logging::refill();
         if out > 0 {
             site.metrics.lines_left_out.inc_by(out);
             tracing::warn!(lines = out, "log lines on requests were left out");
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -17,7 +17,7 @@
 //!   what one has read that another can't.
 //! * [`controller`] moves models and adapters while this VM holds the lease; [`outbox`] has what it then tells.
 //! * [`counted`] and [`traffic`] count what the store and the other VMs are asked and told.
-//! * [`site`] is the state that they share, [`known`] what is known in it, [`clock`] the time, [`operator`] what operators can tell;
+//! * [`site`] is the state that they share, [`site_view`] what is known in it, [`clock`] the time, [`operator`] what operators can tell;
 //!   [`run`] puts all together.
 //!
 //! The design and what was weighed are in `docs/design/system.md`.
@@ -31,16 +31,16 @@
 mod crash_probe;
 mod dispatch;
 pub mod edge;
+pub mod feed_reads;
 pub mod follow;
 mod follower;
 pub mod gossip;
 pub mod hearing;
 pub mod keys;
-pub mod known;
 pub mod lease;
 pub mod limits;
 mod list;
-pub mod logbook;
+pub mod logging;
 pub mod metrics;
 pub mod operator;
 mod order_task;
@@ -51,7 +51,6 @@
 pub mod pool;
 pub mod quarantine_sync;
 pub mod question;
-pub mod reading;
 mod receiver;
 pub mod relay;
 pub mod request;
@@ -61,6 +60,7 @@
 pub mod settings;
 mod silence;
 pub mod site;
+pub mod site_view;
 mod small_server;
 pub mod start;
 pub mod traffic;
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -228,7 +228,7 @@
         if r.copies.contains(model) {
             return true;
         }
-        let ceiling = self.site.settings.load().ceiling();
+        let ceiling = self.site.settings.load().load_ceiling();
         let mut window = self
             .store_loads
             .lock()
@@ -381,8 +381,8 @@
         };
         let now = self.site.now();
         self.site.report(now, &r);
-        self.site.known().reports.add(r);
-        self.site.urgent.notify_one();
+        self.site.view().reports.add(r);
+        self.site.urgent_update.notify_one();
     }
 
     async fn report(&self) -> Option<EndpointReport> {
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::crash_probe;
 use crate::edge::Protocol;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::pool::Connection;
 use crate::site::Site;
@@ -105,8 +105,8 @@
             return;
         }
         let now = self.site.now();
-        self.site.known().balance.first(now, sent);
-        self.site.eased.notify_waiters();
+        self.site.view().balance.first(now, sent);
+        self.site.capacity_freed.notify_waiters();
         let since = now.duration_since(self.arrived);
         self.site.metrics.first_byte.observe(since.as_secs_f64());
     }
@@ -125,7 +125,7 @@
 
     /// Notes that the endpoint ran the request to its end: it doesn't crash those that run it.
     pub fn ran_to_end(&self) {
-        self.site.note_answer(self.request);
+        self.site.record_completed(self.request);
     }
 
     /// Ends the account of a whole answer.
@@ -141,7 +141,7 @@
         let Some(sent) = self.sent.take() else { return };
         let first_ms = sent.first().map(millis);
         self.site
-            .known()
+            .view()
             .balance
             .finish(self.site.now(), sent, ending);
         if may_log() {
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -5,7 +5,7 @@
 use crate::edge::{Ask, Passage, Protocol};
 use crate::keys::{self, Denied};
 use crate::limits::{self, Wish};
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::passage;
 use crate::relay::millis;
@@ -126,7 +126,7 @@
     });
     let d = Dispatch {
         job: job(service, rule, pass.as_ref().and_then(|p| p.rank), &ask)
-            .at_home(site.settings.load().zones_at_home(&homes)),
+            .at_home(site.settings.load().zones_in_regions(&homes)),
         pass: pass.as_ref(),
         taken,
         site: &site,
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -1,11 +1,11 @@
 //! What a process knows of endpoints, load, demand, the other VMs and requests that crash endpoints.
 
 use crate::edge::{Feed, Vm};
+use crate::feed_reads::FeedReads;
 use crate::follower::position;
-use crate::logbook::may_log;
+use crate::logging::may_log;
 use crate::outbox::Outbox;
 use crate::quarantine_sync::Said;
-use crate::reading::Readings;
 use crate::settings::NodeSettings;
 use crate::silence::Silences;
 use limehollow::arrivals::Arrivals;
@@ -53,9 +53,9 @@
 /// What is known of endpoints, load and demand.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each says another thing")]
-pub struct Known {
+pub struct SiteView {
     /// This VM.
-    me: Vm,
+    own_vm: Vm,
     /// The endpoints.
     pub roster: Roster,
     /// What is where.
@@ -69,7 +69,7 @@
     /// What other VMs have at the endpoints, as the VMs of this zone said it last.
     pub taken: BTreeMap<VmName, (Instant, Vec<(Instance, Taken)>)>,
     /// When each part of another zone's sums was passed on last, by this VM.
-    pub passed_on: BTreeMap<(SmolStr, u8), Instant>,
+    pub relayed_at: BTreeMap<(SmolStr, u8), Instant>,
     /// In how many parts each zone said its sums last.
     pub zone_parts: BTreeMap<SmolStr, u8>,
     /// Starts of endpoints that are gone, though the list still shows them, and when that was learnt.
@@ -77,31 +77,31 @@
     /// Starts of endpoints that said that they leave, and when that was heard.
     pub leaving: BTreeMap<Instance, Instant>,
     /// What requests wait for here that isn't loaded, until it is told.
-    pub wants: BTreeSet<ModelRef>,
+    pub unsent_loads: BTreeSet<ModelRef>,
     /// What requests of any VM wait for, and when that was last heard.
-    pub wanted: BTreeMap<ModelRef, Instant>,
+    pub requested_loads: BTreeMap<ModelRef, Instant>,
     /// Who holds the lease to give orders, as far as is known.
     pub candidacy: Candidacy,
     /// What this VM says of the lease itself, and until when.
     pub lease_notice: Option<(Notice, Instant)>,
     /// Changes of the list that this VM read lately, for the VMs of its zone.
-    pub list_news: VecDeque<(Instant, ListChanges)>,
+    pub recent_list_changes: VecDeque<(Instant, ListChanges)>,
     /// How far this process has read what it follows.
     pub positions: Positions,
     /// How fresh that is.
-    pub readings: Readings,
+    pub feed_reads: FeedReads,
     /// Endpoints that vanished around an outage and may come back: they are still in use.
-    pub withheld: BTreeSet<SmolStr>,
+    pub held_removals: BTreeSet<SmolStr>,
     /// Endpoints that were removed lately, and in which era of the store.
     pub removed: BTreeMap<SmolStr, Removal>,
     /// Entries that the store shows since its return from a copy, of endpoints that were removed before: they are not in use.
     pub doubtful: BTreeMap<SmolStr, Endpoint>,
     /// The store's last return from a copy.
-    pub returned: Option<StoreReturn>,
+    pub store_return: Option<StoreReturn>,
     /// The VM that has read each feed furthest, and how far.
-    pub ahead: BTreeMap<Feed, (SmolStr, LogPosition)>,
+    pub furthest: BTreeMap<Feed, (SmolStr, LogPosition)>,
     /// The VM of this zone that has read the list furthest, and how far.
-    pub ahead_here: Option<(SmolStr, LogPosition)>,
+    pub furthest_in_zone: Option<(SmolStr, LogPosition)>,
     /// What the controller on this VM found out lately, for the other VMs.
     pub reports: Outbox,
     /// Whether this VM can't stand for the lease: its last call for it failed, or it was told to end.
@@ -121,7 +121,7 @@
     /// Whether the VMs of the site were read from the store.
     pub has_vms: bool,
     /// Whether another VM handed its state over at the start.
-    pub is_given: bool,
+    pub has_peer_state: bool,
     /// Whether this VM is still getting to know the site.
     pub is_starting: bool,
     /// The VMs that the store shows.
@@ -138,12 +138,12 @@
     pub quarantines: BTreeMap<SmolStr, Said>,
 }
 
-impl Known {
+impl SiteView {
     /// Knows nothing yet.
     pub(crate) fn new(settings: &NodeSettings, now: Instant) -> Self {
         let zone = ZoneName::from(settings.availability_zone.as_str());
         Self {
-            me: Vm {
+            own_vm: Vm {
                 name: SmolStr::new(settings.name.as_str()),
                 zone: zone.clone(),
                 address: settings.peer_address(),
@@ -155,23 +155,23 @@
             arrivals: Arrivals::default(),
             demand: BTreeMap::new(),
             taken: BTreeMap::new(),
-            passed_on: BTreeMap::new(),
+            relayed_at: BTreeMap::new(),
             zone_parts: BTreeMap::new(),
             gone: BTreeMap::new(),
             leaving: BTreeMap::new(),
-            wants: BTreeSet::new(),
-            wanted: BTreeMap::new(),
+            unsent_loads: BTreeSet::new(),
+            requested_loads: BTreeMap::new(),
             candidacy: Candidacy::new(now),
             lease_notice: None,
-            list_news: VecDeque::new(),
+            recent_list_changes: VecDeque::new(),
             positions: Positions::default(),
-            readings: Readings::default(),
-            withheld: BTreeSet::new(),
+            feed_reads: FeedReads::default(),
+            held_removals: BTreeSet::new(),
             removed: BTreeMap::new(),
             doubtful: BTreeMap::new(),
-            returned: None,
-            ahead: BTreeMap::new(),
-            ahead_here: None,
+            store_return: None,
+            furthest: BTreeMap::new(),
+            furthest_in_zone: None,
             reports: Outbox::default(),
             lease_failing: false,
             peers: Peers::new(
@@ -185,7 +185,7 @@
             quotas: Quotas::new(settings.quota_allowance()),
             cold_specs: BTreeMap::new(),
             has_vms: false,
-            is_given: false,
+            has_peer_state: false,
             is_starting: false,
             listed: BTreeMap::new(),
             is_listed: false,
@@ -198,59 +198,62 @@
 
     /// Tells whether another VM has read a feed further than this one.
     pub(crate) fn is_behind(&self, feed: Feed) -> bool {
-        let theirs = self.ahead.get(&feed).map(|(_, at)| *at);
+        let theirs = self.furthest.get(&feed).map(|(_, at)| *at);
         theirs > Some(position(self.positions, feed))
     }
 
     /// Takes in how far a VM of this zone has read the list.
-    pub(crate) fn note_ahead_here(&mut self, vm: &SmolStr, position: LogPosition) {
-        let best = self.ahead_here.as_ref().map(|(_, at)| *at);
+    pub(crate) fn record_furthest_in_zone(&mut self, vm: &SmolStr, position: LogPosition) {
+        let best = self.furthest_in_zone.as_ref().map(|(_, at)| *at);
         if Some(position) >= best && !position.is_start() {
-            self.ahead_here = Some((vm.clone(), position));
+            self.furthest_in_zone = Some((vm.clone(), position));
         }
     }
 
     /// Tells whether a VM of this zone has read the list further than this one. Other zones are read for at other moments: what
     /// they are ahead comes by the own zone's reader.
-    pub(crate) fn is_behind_here(&self) -> bool {
-        let theirs = self.ahead_here.as_ref().map(|(_, at)| *at);
+    pub(crate) fn is_behind_zone(&self) -> bool {
+        let theirs = self.furthest_in_zone.as_ref().map(|(_, at)| *at);
         theirs > Some(self.positions.endpoints)
     }
 
     /// Gives the VM from which a list is got that is further: one of this zone, if there is one.
-    pub(crate) fn ahead_in_list(&self) -> Option<&SmolStr> {
-        let here = self.ahead_here.as_ref().filter(|_| self.is_behind_here());
-        let any = self.ahead.get(&Feed::Endpoints);
+    pub(crate) fn furthest_in_list(&self) -> Option<&SmolStr> {
+        let here = self
+            .furthest_in_zone
+            .as_ref()
+            .filter(|_| self.is_behind_zone());
+        let any = self.furthest.get(&Feed::Endpoints);
         here.or(any).map(|(vm, _)| vm)
     }
 
     /// Takes in that a request waits here for something that isn't loaded.
-    pub(crate) fn want(&mut self, now: Instant, m: &ModelRef) {
-        self.wants.insert(m.clone());
-        self.wanted.insert(m.clone(), now);
+    pub(crate) fn request_load(&mut self, now: Instant, m: &ModelRef) {
+        self.unsent_loads.insert(m.clone());
+        self.requested_loads.insert(m.clone(), now);
     }
 
     /// Takes in where a VM is.
-    pub(crate) fn learn(&mut self, vm: &Vm) -> bool {
+    pub(crate) fn add_vm(&mut self, vm: &Vm) -> bool {
         let (name, zone) = (vm.name.clone(), vm.zone.clone());
         self.peers.upsert(name, zone, vm.address, vm.millicores)
     }
 
     /// Notes that the store shows a VM.
-    pub(crate) fn note_listed(&mut self, vm: Vm) {
+    pub(crate) fn record_listed(&mut self, vm: Vm) {
         if self.unlisted.get(&vm.name) == Some(&vm) {
             self.unlisted.remove(&vm.name);
         }
-        self.is_listed |= vm == self.me;
+        self.is_listed |= vm == self.own_vm;
         self.listed.insert(vm.name.clone(), vm);
     }
 
     /// Takes in all VMs that the store shows. Gives whether it has lost some that it showed before: they are to be written again.
-    pub(crate) fn note_all_listed(&mut self, vms: Vec<Vm>) -> bool {
+    pub(crate) fn record_all_listed(&mut self, vms: Vec<Vm>) -> bool {
         let before = std::mem::take(&mut self.listed);
         self.is_listed = false;
         for vm in vms {
-            self.note_listed(vm);
+            self.record_listed(vm);
         }
         let lost = before
             .into_iter()
@@ -262,7 +265,7 @@
     }
 
     /// Tells whether an entry that the store shows in this era was removed in an earlier one: it may be the copy's.
-    pub(crate) fn is_from_the_copy(&self, id: &str, era: u64) -> bool {
+    pub(crate) fn may_be_from_copy(&self, id: &str, era: u64) -> bool {
         let is_known = self.roster.key(id).is_some();
         !is_known && self.removed.get(id).is_some_and(|r| r.era < era)
     }
@@ -275,7 +278,7 @@
 
     /// Takes in how many VMs another one knows of; limits are shared among the most that any knows. It is zero where that
     /// one doesn't know yet.
-    pub fn note_vms(&mut self, now: Instant, told: usize) {
+    pub fn update_vm_count(&mut self, now: Instant, told: usize) {
         let read = if self.has_vms { self.peers.known() } else { 0 };
         self.quotas.set_vms(now, told.max(read));
     }
@@ -287,7 +290,7 @@
         let update = self.roster.apply_entry(now, e);
         self.forget(now, update.replaced, former);
         if let Some(key) = self.roster.key(&id) {
-            self.note_cold(now, key, cold);
+            self.record_cold(now, key, cold);
         }
         update
     }
@@ -298,7 +301,7 @@
         let update = self.roster.apply_report(now, r);
         self.forget(now, update.replaced, former);
         if update.is_restart() {
-            self.note_start(now, &r.instance.id);
+            self.record_new_start(now, &r.instance.id);
         }
         update
     }
@@ -325,12 +328,12 @@
         let cold = self.roster.iter().filter(|(_, e)| e.cold_ms > 0);
         let cold: Vec<_> = cold.map(|(k, e)| (k, millis(e.cold_ms))).collect();
         for (key, left) in cold {
-            self.note_cold(now, key, left);
+            self.record_cold(now, key, left);
         }
     }
 
     /// Takes in that an endpoint is cold for so long, and bears less meanwhile.
-    pub(crate) fn note_cold(&mut self, now: Instant, key: EndpointKey, left: Duration) {
+    pub(crate) fn record_cold(&mut self, now: Instant, key: EndpointKey, left: Duration) {
         let Some(e) = self.roster.get(key).filter(|_| !left.is_zero()) else {
             return;
         };
@@ -349,12 +352,12 @@
     }
 
     /// Takes in that a start of an endpoint is new, of which only another VM's report tells: the list says later how cold it is.
-    fn note_start(&mut self, now: Instant, id: &SmolStr) {
+    fn record_new_start(&mut self, now: Instant, id: &SmolStr) {
         let key = self.roster.key(id);
         let service = key.and_then(|k| Some(&self.roster.get(k)?.service));
         let spec = service.and_then(|s| self.cold_specs.get(s)).copied();
         if let (Some(key), Some(spec)) = (key, spec) {
-            self.note_cold(now, key, spec.start);
+            self.record_cold(now, key, spec.start);
         }
     }
 
@@ -377,7 +380,7 @@
 
     /// Takes an endpoint out of use whose entry can't be read. Gives whether it was in use.
     pub fn set_unreadable(&mut self, id: &SmolStr) -> bool {
-        self.withheld.remove(id);
+        self.held_removals.remove(id);
         let gone = self.roster.set_unreadable(id.clone());
         if let Some(key) = gone {
             // Its endpoint may well live: this says nothing of a crash.
@@ -391,7 +394,7 @@
     ///
     /// The list shows a start that crashed for three heartbeats. While each of 300 VMs had to find out by itself, 805
     /// requests were sent to a former start within four seconds after 50 endpoints of 240 had crashed and come back.
-    pub(crate) fn note_gone(&mut self, now: Instant, instance: &Instance) -> bool {
+    pub(crate) fn record_gone(&mut self, now: Instant, instance: &Instance) -> bool {
         let Some(key) = self.roster.find(instance) else {
             return false;
         };
@@ -399,7 +402,7 @@
         if is_news {
             self.roster.mark_leaving(key);
             self.gone.insert(instance.clone(), now);
-            self.note_crashed(now, instance);
+            self.record_crash(now, instance);
         }
         is_news
     }
@@ -407,7 +410,7 @@
     /// Takes in that an endpoint says itself that it leaves. Gives whether that is news: the other VMs are told then.
     ///
     /// Its entry on the list may say so much later: an endpoint that leaves while the store is away can't write it.
-    pub(crate) fn note_leaving(&mut self, now: Instant, instance: &Instance) -> bool {
+    pub(crate) fn record_leaving(&mut self, now: Instant, instance: &Instance) -> bool {
         let is_news = self.roster.note_leaving(instance);
         if is_news {
             self.leaving.insert(instance.clone(), now);
@@ -417,7 +420,7 @@
 
     /// Drops an endpoint that is off the list. Gives whether it was there.
     pub fn drop_endpoint(&mut self, now: Instant, id: &str) -> bool {
-        self.withheld.remove(id);
+        self.held_removals.remove(id);
         let former = self.start_of(id);
         let gone = self.roster.remove(id);
         self.forget(now, gone, former);
@@ -441,21 +444,21 @@
         let Some(key) = gone else { return };
         self.balance.forget(key);
         if let Some(start) = start {
-            self.note_crashed(now, &start);
+            self.record_crash(now, &start);
         }
     }
 
     /// Takes in that a start of an endpoint has crashed: what it ran is suspect. Gives whether it ran anything.
-    pub(crate) fn note_crashed(&mut self, now: Instant, start: &Instance) -> bool {
+    pub(crate) fn record_crash(&mut self, now: Instant, start: &Instance) -> bool {
         let cut_off = self.crash_watch.record_crash(start);
         for c in &cut_off {
-            self.note_suspect(now, start, *c);
+            self.record_suspect(now, start, *c);
         }
         !cut_off.is_empty()
     }
 
     /// Takes in that a request ran on a start of an endpoint when that crashed.
-    pub(crate) fn note_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
+    pub(crate) fn record_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
         let tag = StartTag::from(start);
         let from = (c.request, c.origin);
         let outcome = self.quarantine.record_crash(now, from, tag, c.timing);
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -48,13 +48,13 @@
     P: Protocol,
     T: States,
 {
-    site.known().is_starting = true;
+    site.view().is_starting = true;
     get_state(site, states).await;
     let now = site.now();
-    let mut known = site.known();
-    known.is_starting = false;
-    if known.candidacy.fresh(now).is_none() {
-        known.candidacy.restart(now);
+    let mut view = site.view();
+    view.is_starting = false;
+    if view.candidacy.fresh(now).is_none() {
+        view.candidacy.restart(now);
     }
 }
 
@@ -65,7 +65,7 @@
     T: States,
 {
     let began = site.now();
-    let mut named = named(&site.settings.load());
+    let mut named = seed_addresses(&site.settings.load());
     if named.is_empty() || is_named(&site.settings.load()) {
         return;
     }
@@ -93,7 +93,7 @@
 }
 
 /// Gives where the datagrams of the VMs arrive that the settings name, other than this one's.
-pub(crate) fn named(settings: &NodeSettings) -> Vec<SocketAddr> {
+pub(crate) fn seed_addresses(settings: &NodeSettings) -> Vec<SocketAddr> {
     let others = all_named(settings).filter(|ip| *ip != settings.ip);
     others
         .map(|ip| SocketAddr::new(ip, settings.peer_port))
@@ -152,9 +152,9 @@
     T: States,
 {
     let ahead = {
-        let known = site.known();
-        let vm = known.ahead_in_list();
-        vm.and_then(|vm| known.peers.address(vm))
+        let view = site.view();
+        let vm = view.furthest_in_list();
+        vm.and_then(|vm| view.peers.address(vm))
     };
     match ahead {
         Some(vm) => {
@@ -190,8 +190,8 @@
     P: Protocol,
     T: States,
 {
-    learn(site, &state.members);
-    site.known().is_given = true;
+    add_members(site, &state.members);
+    site.view().has_peer_state = true;
     for feed in [Feed::Configuration, Feed::Endpoints] {
         let mut f = Follower::new(Arc::clone(site), states.clone(), feed);
         let vm = format_smolstr!("{giver}");
@@ -203,23 +203,23 @@
 }
 
 /// Takes in the VMs that another one knows.
-pub(crate) fn learn<P>(site: &Site<P>, members: &Members)
+pub(crate) fn add_members<P>(site: &Site<P>, members: &Members)
 where
     P: Protocol,
 {
     let now = site.now();
-    let mut known = site.known();
+    let mut view = site.view();
     for m in &members.vms {
         let Some(vm) = vm(&m.vm) else {
             continue;
         };
-        known.learn(&vm);
+        view.add_vm(&vm);
         if m.is_listed {
-            known.note_listed(vm);
+            view.record_listed(vm);
         }
     }
-    known.has_vms |= members.has_all;
-    known.note_vms(now, 0);
+    view.has_vms |= members.has_all;
+    view.update_vm_count(now, 0);
 }
 
 /// Gives the VMs that this one knows, itself too.
@@ -227,9 +227,9 @@
 where
     P: Protocol,
 {
-    let me = myself(site);
-    let known = site.known();
-    let others = known
+    let own_vm = myself(site);
+    let view = site.view();
+    let others = view
         .peers
         .vms()
         .map(|(name, zone, address, millicores)| Vm {
@@ -238,13 +238,13 @@
             address,
             millicores,
         });
-    let vms = others.chain([me]).map(|vm| Member {
-        is_listed: known.listed.get(&vm.name) == Some(&vm),
+    let vms = others.chain([own_vm]).map(|vm| Member {
+        is_listed: view.listed.get(&vm.name) == Some(&vm),
         vm: introduction(&vm),
     });
     Members {
         vms: vms.collect(),
-        has_all: known.has_vms,
+        has_all: view.has_vms,
     }
 }
 
@@ -267,7 +267,7 @@
 }
 
 /// Says to a VM that starts from whom it gets the state, and remembers it for those that follow.
-pub(crate) fn answer<P>(site: &Site<P>, said: &Introduction) -> Reply
+pub(crate) fn assign_parent<P>(site: &Site<P>, said: &Introduction) -> Reply
 where
     P: Protocol,
 {
@@ -275,12 +275,12 @@
         return Reply::Giver(None);
     };
     let now = site.now();
-    let mut known = site.known();
-    known.learn(&vm);
-    let (who, position) = ((vm.address, vm.millicores), known.positions.endpoints);
-    let giver = known.start_tree.place(now, &vm.zone, who, position);
-    if known.listed.get(&vm.name) != Some(&vm) {
-        known.unlisted.insert(vm.name.clone(), vm);
+    let mut view = site.view();
+    view.add_vm(&vm);
+    let (who, position) = ((vm.address, vm.millicores), view.positions.endpoints);
+    let giver = view.start_tree.place(now, &vm.zone, who, position);
+    if view.listed.get(&vm.name) != Some(&vm) {
+        view.unlisted.insert(vm.name.clone(), vm);
         site.vm_unlisted.notify_one();
     }
     Reply::Giver(match giver {
@@ -294,10 +294,10 @@
 where
     P: Protocol,
 {
-    let known = site.known();
-    let p = known.positions;
+    let view = site.view();
+    let p = view.positions;
     let has_list = p.endpoints > beyond;
-    let has_rest = known.has_vms && !p.configuration.is_start() && site.catalog.load().is_some();
+    let has_rest = view.has_vms && !p.configuration.is_start() && site.catalog.load().is_some();
     has_list && (!beyond.is_start() || has_rest)
 }
 
@@ -313,16 +313,16 @@
     let (mut pause, mut again) = (ANNOUNCE_AFTER, WRITE_AGAIN_AFTER);
     let mut own_due = site.now() + own_turn(&site);
     loop {
-        let due = (!site.known().is_listed).then_some(own_due);
+        let due = (!site.view().is_listed).then_some(own_due);
         tokio::select! {
             () = site.vm_unlisted.notified() => sleep(GATHER).await,
             () = until(&site, due) => {
                 // Another VM may have made it known meanwhile.
-                if site.known().is_listed {
+                if site.view().is_listed {
                     continue;
                 }
-                let me = myself(&site);
-                site.known().unlisted.insert(me.name.clone(), me);
+                let own_vm = myself(&site);
+                site.view().unlisted.insert(own_vm.name.clone(), own_vm);
                 own_due = site.now() + jittered(pause);
                 pause = (pause * 2).min(LONGEST_ANNOUNCE_PAUSE);
             }
@@ -362,7 +362,7 @@
 fn myself<P>(site: &Site<P>) -> Vm {
     let settings = site.settings.load();
     Vm {
-        name: SmolStr::new(site.me.as_str()),
+        name: SmolStr::new(site.own_vm.as_str()),
         zone: site.zone.clone(),
         address: settings.peer_address(),
         millicores: settings.millicores(),
@@ -375,14 +375,14 @@
     P: Protocol,
     S: Store,
 {
-    let vms: Vec<Vm> = site.known().unlisted.values().cloned().collect();
+    let vms: Vec<Vm> = site.view().unlisted.values().cloned().collect();
     if vms.is_empty() {
         return Ok(());
     }
     store.announce(&vms).await?;
-    let mut known = site.known();
+    let mut view = site.view();
     for vm in vms {
-        known.note_listed(vm);
+        view.record_listed(vm);
     }
     Ok(())
 }
--- a/crates/limehollow-node/tests/following.rs
+++ b/crates/limehollow-node/tests/following.rs
@@ -35,9 +35,8 @@
 }
 
 fn endpoints(site: &Site<Plain>) -> Vec<String> {
-    let known = site.known();
-    known
-        .roster
+    let view = site.view();
+    view.roster
         .iter()
         .map(|(_, e)| e.instance.to_string())
         .collect()
@@ -114,14 +113,14 @@
     let site = start(&store);
     for i in 0..40 {
         let vm = format!("vm-{}", i + 2);
-        let mut known = site.known();
-        known.peers.upsert(
+        let mut view = site.view();
+        view.peers.upsert(
             vm.as_str().into(),
             "a".into(),
             ([127, 0, 0, 1], 7000).into(),
             250,
         );
-        known.peers.receive(tokio::time::Instant::now(), &vm, 1, 1);
+        view.peers.receive(tokio::time::Instant::now(), &vm, 1, 1);
     }
     store.add(Feed::Configuration, configuration(3));
     sleep(SOON).await;
@@ -130,7 +129,7 @@
         configuration: LogPosition::new(0, 99),
         ..Default::default()
     };
-    site.note_peer(&"vm-2".into(), ahead, Reading::default());
+    site.observe_peer(&"vm-2".into(), ahead, Reading::default());
     sleep(Duration::from_millis(800)).await;
     assert_eq!(version(&site), 4);
 }
@@ -151,7 +150,7 @@
         ..Default::default()
     };
     for _ in 0..20 {
-        site.note_peer(&"vm-2".into(), ahead, Reading::default());
+        site.observe_peer(&"vm-2".into(), ahead, Reading::default());
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(version(&site), 4);
@@ -180,7 +179,7 @@
         store.set_transfer(Duration::from_millis(300));
         store.add(Feed::Endpoints, listed(2));
         sleep(Duration::from_millis(50) * phase).await;
-        site.offer_list(ListChanges {
+        site.offer_list_changes(ListChanges {
             from: LogPosition::new(0, 1),
             to: LogPosition::new(0, 99),
             changes: vec![ListChange::Gone("i-2".into())],
--- a/crates/limehollow-node/tests/left_alone.rs
+++ b/crates/limehollow-node/tests/left_alone.rs
@@ -23,7 +23,7 @@
     for i in 1..=NEIGHBOURS {
         let (name, address) = (format!("vm-{i}"), ([127, 0, 0, i], 7000).into());
         let zone = site.zone.clone();
-        site.known().peers.upsert(name.into(), zone, address, 250);
+        site.view().peers.upsert(name.into(), zone, address, 250);
     }
     advance(Duration::from_secs(5)).await;
     site
@@ -49,7 +49,7 @@
                 model: format!("model-{}", i % 50).into(),
                 adapter: None,
             };
-            waiting.want(&m);
+            waiting.request_load(&m);
             sleep(Duration::from_millis(2)).await;
         }
     });
--- a/crates/limehollow-node/tests/restarts.rs
+++ b/crates/limehollow-node/tests/restarts.rs
@@ -34,9 +34,9 @@
 
 fn open_on(fleet: &Fleet, id: &str) -> Vec<Option<u64>> {
     let born = |v: &rig::fleet::Entry| {
-        let known = v.site.known();
-        let key = known.roster.key(id);
-        let e = key.and_then(|k| known.roster.get(k));
+        let view = v.site.view();
+        let key = view.roster.key(id);
+        let e = key.and_then(|k| view.roster.get(k));
         e.filter(|e| !e.leaving).and_then(|e| e.instance.born)
     };
     fleet.vms.iter().map(born).collect()
@@ -56,9 +56,9 @@
     }
     for v in &fleet.vms {
         assert!(
-            v.site.known().roster.unreadable().eq(["i-1"]),
+            v.site.view().roster.unreadable().eq(["i-1"]),
             "{}",
-            v.site.me
+            v.site.own_vm
         );
     }
     // A later good entry brings it back.
@@ -147,8 +147,8 @@
         orders_taken: 0,
     };
     site.report(Instant::now(), &r);
-    site.known().reports.add(r);
-    site.urgent.notify_one();
+    site.view().reports.add(r);
+    site.urgent_update.notify_one();
     sleep(Duration::from_secs(1)).await;
     assert_eq!(open_on(&fleet, "i-0"), [Some(2_000); 4]);
 }
@@ -159,7 +159,7 @@
     let fleet = Fleet::start(3, 30, LEAVING_MS, 2).await;
     let site = &fleet.vms[29].site;
     let gone = endpoint(0, ([127, 0, 0, 1], 9000).into()).instance;
-    assert!(site.note_gone(&gone));
+    assert!(site.record_gone(&gone));
     let (took, last) = fleet.out_of_use(0).await;
     assert!(took <= Duration::from_millis(700), "{took:?} on {last}");
     fleet.always_used(1, Duration::from_secs(2)).await;
--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -11,7 +11,7 @@
 use limehollow_node::clock::Clock;
 use limehollow_node::edge::Feed;
 use limehollow_node::gossip;
-use limehollow_node::lease::{SharedLease, fence, keep_lease};
+use limehollow_node::lease::{SharedLease, fence, maintain_lease};
 use limehollow_node::pool::Pool;
 use limehollow_node::site::Site;
 use rig::{
@@ -40,7 +40,7 @@
     let lease: SharedLease = Arc::new(Mutex::new(GroupLease::new(Duration::from_secs(3))));
     let (_stop, stopped) = watch::channel(false);
     let store = Memory::default();
-    tokio::spawn(keep_lease(
+    tokio::spawn(maintain_lease(
         Arc::clone(&site),
         store.clone(),
         Arc::clone(&lease),
@@ -49,7 +49,7 @@
     sleep(Duration::from_secs(8)).await;
     assert_eq!(fence(&site, &lease), Some(1));
     // The first thing after the machine goes on is an order: another VM has the lease by now.
-    site.clock.lose(AWAY);
+    site.clock.simulate_suspension(AWAY);
     assert_eq!(fence(&site, &lease), None);
     // Dealt the lease again, it waits until orders of the one in between can't arrive any more.
     sleep(Duration::from_secs(2)).await;
@@ -64,14 +64,14 @@
     let mut r = rule("/a/", Repeat::Never, 1);
     r.stream = is_streamed;
     site.set_catalog(catalog(1, vec![r]));
-    site.known().list(site.now(), endpoint(0, to));
+    site.view().list(site.now(), endpoint(0, to));
     let socket = UdpSocket::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
     let wanted = Arc::new(Notify::new());
     // It is the task that says how much time was lost.
-    let outlet = Arc::new(gossip::Outlet::new(Arc::clone(&site), socket));
-    tokio::spawn(gossip::send(Arc::clone(&site), outlet, wanted));
+    let socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
+    tokio::spawn(gossip::send(Arc::clone(&site), socket, wanted));
     Gateway::with(site).await
 }
 
@@ -81,7 +81,7 @@
     let clock = Arc::clone(&g.site.clock);
     tokio::spawn(async move {
         sleep(Duration::from_millis(100)).await;
-        clock.lose(AWAY);
+        clock.simulate_suspension(AWAY);
     });
     let got = g.ask("/a/x", "").await;
     (got, began.elapsed())
@@ -115,7 +115,7 @@
     let key = EndpointKey::default();
     let c = pool.open(key, s.address).await.expect("it listens");
     pool.put(c).await;
-    clock.lose(AWAY);
+    clock.simulate_suspension(AWAY);
     assert!(pool.take(key).is_none(), "it rested for ten seconds");
     let c = pool.open(key, s.address).await.expect("it listens");
     pool.put(c).await;
@@ -125,25 +125,26 @@
 #[tokio::test(start_paused = true)]
 async fn copies_and_neighbours_are_old_after_a_suspension() {
     let site = site();
-    let mut known = site.known();
+    let mut view = site.view();
     let gap = Duration::from_secs(1);
-    known.readings.read(Feed::Endpoints, site.now(), gap);
-    known.peers.upsert(
+    view.feed_reads
+        .record_read(Feed::Endpoints, site.now(), gap);
+    view.peers.upsert(
         "vm-2".into(),
         site.zone.clone(),
         ([127, 0, 0, 2], 7000).into(),
         250,
     );
-    known.peers.receive(site.now(), "vm-2", 1, 1);
-    assert_eq!(known.peers.alive_in_zone(site.now()), 2);
-    site.clock.lose(AWAY);
+    view.peers.receive(site.now(), "vm-2", 1, 1);
+    assert_eq!(view.peers.alive_in_zone(site.now()), 2);
+    site.clock.simulate_suspension(AWAY);
     let now = site.now();
-    let f = known
-        .readings
+    let f = view
+        .feed_reads
         .freshness(Feed::Endpoints)
         .expect("it was read");
     assert_eq!(f.age(now), AWAY);
-    assert_eq!(known.peers.alive_in_zone(now), 1);
+    assert_eq!(view.peers.alive_in_zone(now), 1);
 }
 
 #[tokio::test(start_paused = true)]
@@ -155,9 +156,9 @@
         tokio::spawn(async move { clock.sleep_until(due).await })
     };
     sleep(Duration::from_secs(1)).await;
-    clock.lose(Duration::from_secs(3));
-    assert_eq!(clock.look(), Some(Duration::from_secs(3)));
-    assert_eq!(clock.look(), None, "it is said once");
+    clock.simulate_suspension(Duration::from_secs(3));
+    assert_eq!(clock.detect_suspension(), Some(Duration::from_secs(3)));
+    assert_eq!(clock.detect_suspension(), None, "it is said once");
     sleep(Duration::from_millis(900)).await;
     assert!(!waiting.is_finished());
     sleep(Duration::from_millis(200)).await;
@@ -168,5 +169,5 @@
 fn clock_of_the_system_loses_nothing_while_it_runs() {
     let clock = Clock::system();
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(clock.look(), None);
+    assert_eq!(clock.detect_suspension(), None);
 }
