--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -387,7 +387,7 @@
     /// # Errors
     ///
     /// The header that can't be understood.
-    fn ask(&self, head: &RequestParts) -> Result<Ask, BadAsk>;
+    fn parse_request(&self, head: &RequestParts) -> Result<Ask, BadAsk>;
 
     /// Says what becomes of a caller's header on its way to an endpoint.
     fn request_header(&self, name: &HeaderName) -> Passage;
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -64,7 +64,7 @@
 where
     P: Protocol,
 {
-    let ask = match site.protocol.ask(&head) {
+    let ask = match site.protocol.parse_request(&head) {
         Ok(ask) => ask,
         Err(bad) => {
             tracing::warn!(error = %bad, "request refused: not understood");
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -50,7 +50,7 @@
 pub struct Plain;
 
 impl Protocol for Plain {
-    fn ask(&self, head: &Parts) -> Result<Ask, BadAsk> {
+    fn parse_request(&self, head: &Parts) -> Result<Ask, BadAsk> {
         let Some(id) = head.headers.get(ID).and_then(|v| v.to_str().ok()) else {
             return BadAskSnafu {
                 header: "x-id",
