--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::attempt::{self, Failed, Room, Shows, Target};
 use crate::crash_probe;
-use crate::edge::{Ask, Feed, Protocol, Sending};
+use crate::edge::{Feed, Protocol, RequestMeta, Sending};
 use crate::keys::Pass;
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
@@ -68,7 +68,7 @@
     pub(crate) site: &'a Arc<Site<P>>,
     pub(crate) catalog: &'a Catalog,
     pub(crate) rule: &'a Rule,
-    pub(crate) ask: &'a Ask,
+    pub(crate) ask: &'a RequestMeta,
     /// What lets it go on, where it needs a key.
     pub(crate) pass: Option<&'a Pass>,
     /// What it has taken of its workspace's limit.
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -261,7 +261,7 @@
 
 /// What a request says of itself, beside method, path and body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct RequestMeta {
     /// The request's id.
     pub id: SmolStr,
     /// The key with which it is asked. An address names nobody: callers stand behind several, and several behind one.
@@ -278,7 +278,7 @@
     pub parts: Vec<PromptPart>,
 }
 
-impl Ask {
+impl RequestMeta {
     /// Gives the tokens that the request says of itself; none where it says none.
     #[must_use]
     pub fn tokens(&self) -> Option<u64> {
@@ -387,7 +387,7 @@
     /// # Errors
     ///
     /// The header that can't be understood.
-    fn parse_request(&self, head: &RequestParts) -> Result<Ask, BadAsk>;
+    fn parse_request(&self, head: &RequestParts) -> Result<RequestMeta, BadAsk>;
 
     /// Says what becomes of a caller's header on its way to an endpoint.
     fn request_header(&self, name: &HeaderName) -> Passage;
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -4,7 +4,7 @@
 //! The VM that reads for its zone knows it by its reads; the others ask it, or any other VM, once in a while, and read the
 //! store themselves if none can say.
 
-use crate::edge::{Ask, Feed, Protocol};
+use crate::edge::{Feed, Protocol, RequestMeta};
 use crate::site::Site;
 use limehollow::catalog::{Catalog, Rule};
 use limehollow::workspace::{KeyDigest, Workspace};
@@ -47,7 +47,7 @@
     site: &Site<P>,
     catalog: &Catalog,
     rule: &Rule,
-    ask: &Ask,
+    ask: &RequestMeta,
 ) -> Result<Option<Pass>, Denied>
 where
     P: Protocol,
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::dispatch::{Dispatch, LATER};
-use crate::edge::{Ask, Passage, Protocol};
+use crate::edge::{Passage, Protocol, RequestMeta};
 use crate::keys::{self, Denied};
 use crate::limits::{self, Wish};
 use crate::logbook::may_log;
@@ -175,7 +175,7 @@
 }
 
 /// Answers a request whose key no workspace has.
-fn unknown_key<P>(site: &Site<P>, version: u64, ask: &Ask) -> Response<Outgoing<P>>
+fn unknown_key<P>(site: &Site<P>, version: u64, ask: &RequestMeta) -> Response<Outgoing<P>>
 where
     P: Protocol,
 {
@@ -213,7 +213,12 @@
 }
 
 /// Takes a request's fingerprint. Who asks is the workspace, whichever of its keys came along.
-fn fingerprint(w: Option<&Workspace>, ask: &Ask, head: &Parts, body: &Bytes) -> Fingerprint {
+fn fingerprint(
+    w: Option<&Workspace>,
+    ask: &RequestMeta,
+    head: &Parts,
+    body: &Bytes,
+) -> Fingerprint {
     let key = ask.key.filter(|_| w.is_none()).map(|k| k.to_string());
     let caller = w.map_or(key.as_deref(), |w| Some(&w.name));
     let path = head.uri.path_and_query();
@@ -227,7 +232,7 @@
 }
 
 /// Makes the job of a request. A workspace's rank goes before the rule's.
-fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, ask: &Ask) -> Job {
+fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, ask: &RequestMeta) -> Job {
     let rank = rank.unwrap_or(rule.rank);
     match &ask.model {
         Some(m) => {
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -25,8 +25,8 @@
 use limehollow_edge::settings::parse;
 use limehollow_node::caller;
 use limehollow_node::edge::{
-    Ask, BadAsk, BadAskSnafu, Change, Changes, Feed, Judgement, Order, OrderReply, Passage,
-    Protocol, Sending, States, Store, StoreError, Vm,
+    BadAsk, BadAskSnafu, Change, Changes, Feed, Judgement, Order, OrderReply, Passage, Protocol,
+    RequestMeta, Sending, States, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
 use limehollow_node::site::Site;
@@ -50,7 +50,7 @@
 pub struct Plain;
 
 impl Protocol for Plain {
-    fn parse_request(&self, head: &Parts) -> Result<Ask, BadAsk> {
+    fn parse_request(&self, head: &Parts) -> Result<RequestMeta, BadAsk> {
         let Some(id) = head.headers.get(ID).and_then(|v| v.to_str().ok()) else {
             return BadAskSnafu {
                 header: "x-id",
@@ -58,7 +58,7 @@
             }
             .fail();
         };
-        Ok(Ask {
+        Ok(RequestMeta {
             id: SmolStr::new(id),
             key: head
                 .headers
