--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -68,7 +68,7 @@
     pub(crate) site: &'a Arc<Site<P>>,
     pub(crate) catalog: &'a Catalog,
     pub(crate) rule: &'a Rule,
-    pub(crate) ask: &'a RequestMeta,
+    pub(crate) meta: &'a RequestMeta,
     /// What lets it go on, where it needs a key.
     pub(crate) pass: Option<&'a Pass>,
     /// What it has taken of its workspace's limit.
@@ -284,7 +284,7 @@
         };
         let names = (self.fingerprint, OriginTag::from(self.caller));
         let instance = c.to.instance.clone();
-        let (site, id) = (Arc::clone(self.site), self.ask.id.clone());
+        let (site, id) = (Arc::clone(self.site), self.meta.id.clone());
         let mut running = Running::new(site, sent, id, names, instance, self.arrived);
         self.log_sent(c);
         let req = self.request(c, now);
@@ -293,7 +293,7 @@
             &self.site.pool,
             &c.to,
             req,
-            &self.ask.id,
+            &self.meta.id,
             self.pass,
         );
         let Ok(sent) = self.site.clock.timeout_at(self.expiry, answer).await else {
@@ -360,7 +360,7 @@
         }
         running.end(Ending::Failed(f.failure), "failed");
         tracing::info!(
-            id = %self.ask.id,
+            id = %self.meta.id,
             verdict = %f.verdict,
             reached = f.reached,
             why = %f.why,
@@ -369,7 +369,7 @@
         match (f.shows, &self.job.model) {
             (Shows::OtherInstance, _) => {
                 self.site.note_gone(&to.instance);
-                tracing::info!(id = %self.ask.id, "another instance has the endpoint's address");
+                tracing::info!(id = %self.meta.id, "another instance has the endpoint's address");
             }
             (Shows::NotHeld, Some(m)) => self.site.known().roster.unhold(to.key, m),
             (Shows::NobodyListens, _) => self.site.note_crashed(&to.instance),
@@ -415,7 +415,7 @@
         passage::clean(&mut head.headers, |n| protocol.answer_header(n));
         if may_log() {
             tracing::info!(
-                id = %self.ask.id,
+                id = %self.meta.id,
                 status = head.status.as_u16(),
                 ms = millis(self.waited()),
                 "answer begins"
@@ -425,12 +425,12 @@
     }
 
     fn expired(&self) -> Response<Outgoing<P>> {
-        tracing::info!(id = %self.ask.id, ms = millis(self.waited()), "the request's time has passed");
+        tracing::info!(id = %self.meta.id, ms = millis(self.waited()), "the request's time has passed");
         Metrics::count(&self.site.metrics.requests, "expired");
         plain(
             self.site,
             StatusCode::GATEWAY_TIMEOUT,
-            &self.ask.id,
+            &self.meta.id,
             "time has passed\n",
         )
     }
@@ -442,7 +442,7 @@
             if may_log() {
                 let model = self.job.model.as_ref();
                 tracing::info!(
-                    id = %self.ask.id,
+                    id = %self.meta.id,
                     rule = %self.rule.name,
                     model = model.map(|m| m.model.as_str()),
                     adapter = model.and_then(|m| m.adapter.as_deref()),
@@ -451,14 +451,14 @@
                     "given up"
                 );
             }
-            return refuse(self.site, &self.ask.id, reason, after);
+            return refuse(self.site, &self.meta.id, reason, after);
         }
-        tracing::info!(id = %self.ask.id, reason = reason.as_str(), "no answer; the request may have run");
+        tracing::info!(id = %self.meta.id, reason = reason.as_str(), "no answer; the request may have run");
         Metrics::count(&self.site.metrics.requests, "lost");
         plain(
             self.site,
             StatusCode::BAD_GATEWAY,
-            &self.ask.id,
+            &self.meta.id,
             "the endpoint gave no answer\n",
         )
     }
@@ -488,7 +488,7 @@
         if may_log() {
             let model = self.job.model.as_ref();
             tracing::info!(
-                id = %self.ask.id,
+                id = %self.meta.id,
                 request = %self.fingerprint,
                 caller = %self.caller,
                 rule = %self.rule.name,
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -47,7 +47,7 @@
     site: &Site<P>,
     catalog: &Catalog,
     rule: &Rule,
-    ask: &RequestMeta,
+    meta: &RequestMeta,
 ) -> Result<Option<Pass>, Denied>
 where
     P: Protocol,
@@ -58,7 +58,7 @@
     if !site.keys_count() {
         return Err(Denied::Unconfirmed);
     }
-    let found = ask.key.and_then(|key| {
+    let found = meta.key.and_then(|key| {
         let w = catalog.workspaces.find(&key)?;
         Some(pass(w, key))
     });
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -64,8 +64,8 @@
 where
     P: Protocol,
 {
-    let ask = match site.protocol.parse_request(&head) {
-        Ok(ask) => ask,
+    let meta = match site.protocol.parse_request(&head) {
+        Ok(meta) => meta,
         Err(bad) => {
             tracing::warn!(error = %bad, "request refused: not understood");
             Metrics::count(&site.metrics.requests, "bad request");
@@ -73,49 +73,49 @@
         }
     };
     let Some(catalog) = site.catalog.load_full() else {
-        return refuse(&site, &ask.id, Reason::NoConfiguration, LATER);
+        return refuse(&site, &meta.id, Reason::NoConfiguration, LATER);
     };
     let host = host(&head);
     let Some(rule) = catalog.rule(host, head.uri.path()) else {
-        tracing::info!(id = %ask.id, version = catalog.version, host, path = head.uri.path(), "no rule");
+        tracing::info!(id = %meta.id, version = catalog.version, host, path = head.uri.path(), "no rule");
         Metrics::count(&site.metrics.requests, "no rule");
         return plain(
             &site,
             StatusCode::NOT_FOUND,
-            &ask.id,
+            &meta.id,
             "no rule for this path\n",
         );
     };
-    let pass = match keys::admit(&site, &catalog, rule, &ask) {
+    let pass = match keys::admit(&site, &catalog, rule, &meta) {
         Ok(p) => p,
-        Err(Denied::Unconfirmed) => return refuse(&site, &ask.id, Reason::KeyUnconfirmed, LATER),
-        Err(Denied::Unknown) => return unknown_key(&site, catalog.version, &ask),
+        Err(Denied::Unconfirmed) => return refuse(&site, &meta.id, Reason::KeyUnconfirmed, LATER),
+        Err(Denied::Unknown) => return unknown_key(&site, catalog.version, &meta),
     };
-    let hash = xxhash_rust::xxh3::xxh3_64(ask.id.as_bytes());
+    let hash = xxhash_rust::xxh3::xxh3_64(meta.id.as_bytes());
     let Some(service) = rule.service(hash) else {
-        return refuse(&site, &ask.id, Reason::NoEndpoint, LATER);
+        return refuse(&site, &meta.id, Reason::NoEndpoint, LATER);
     };
-    let time = ask.patience.map_or(rule.timeout, |p| p.min(rule.timeout));
+    let time = meta.patience.map_or(rule.timeout, |p| p.min(rule.timeout));
     let expiry = arrived + time;
     let limit = catalog.limits.body_bytes;
-    let body = match read_body(&site, &ask.id, body, limit, expiry).await {
+    let body = match read_body(&site, &meta.id, body, limit, expiry).await {
         Ok(b) => b,
         Err(res) => return res,
     };
     let workspace = pass
         .as_ref()
         .and_then(|p| catalog.workspaces.get(&p.workspace));
-    let taken = workspace.map_or(0.0, |w| w.cost.of(ask.tokens()));
+    let taken = workspace.map_or(0.0, |w| w.cost.of(meta.tokens()));
     if let Some(w) = workspace {
         match limits::take(&site, &Subject::from(&w.name), taken).await {
             Wish::Granted => {}
-            Wish::Over(after) => return over_limit(&site, &ask.id, &w.name, after),
+            Wish::Over(after) => return over_limit(&site, &meta.id, &w.name, after),
             Wish::Unanswered => {
-                return refuse(&site, &ask.id, Reason::LimitUnknown, limits::NO_KEEPER);
+                return refuse(&site, &meta.id, Reason::LimitUnknown, limits::NO_KEEPER);
             }
         }
     }
-    let fingerprint = fingerprint(workspace, &ask, &head, &body);
+    let fingerprint = fingerprint(workspace, &meta, &head, &body);
     let hides_keys = !catalog.workspaces.is_empty();
     let homes = [&rule.homes[..], workspace.map_or(&[], |w| &w.homes[..])];
     passage::clean(&mut head.headers, |n| {
@@ -125,14 +125,14 @@
         }
     });
     let d = Dispatch {
-        job: job(service, rule, pass.as_ref().and_then(|p| p.rank), &ask)
+        job: job(service, rule, pass.as_ref().and_then(|p| p.rank), &meta)
             .at_home(site.settings.load().zones_at_home(&homes)),
         pass: pass.as_ref(),
         taken,
         site: &site,
         catalog: &catalog,
         rule,
-        ask: &ask,
+        meta: &meta,
         head: &head,
         body,
         caller: from,
@@ -175,17 +175,17 @@
 }
 
 /// Answers a request whose key no workspace has.
-fn unknown_key<P>(site: &Site<P>, version: u64, ask: &RequestMeta) -> Response<Outgoing<P>>
+fn unknown_key<P>(site: &Site<P>, version: u64, meta: &RequestMeta) -> Response<Outgoing<P>>
 where
     P: Protocol,
 {
     Metrics::count(&site.metrics.requests, "unknown key");
     if may_log() {
-        let key = ask.key.map(|k| k.to_string());
-        tracing::info!(id = %ask.id, version, key, "no workspace has this key");
+        let key = meta.key.map(|k| k.to_string());
+        tracing::info!(id = %meta.id, version, key, "no workspace has this key");
     }
     let text = "a key of a workspace is needed\n";
-    plain(site, StatusCode::UNAUTHORIZED, &ask.id, text)
+    plain(site, StatusCode::UNAUTHORIZED, &meta.id, text)
 }
 
 /// Refuses a request whose workspace is over its limit.
@@ -215,11 +215,11 @@
 /// Takes a request's fingerprint. Who asks is the workspace, whichever of its keys came along.
 fn fingerprint(
     w: Option<&Workspace>,
-    ask: &RequestMeta,
+    meta: &RequestMeta,
     head: &Parts,
     body: &Bytes,
 ) -> Fingerprint {
-    let key = ask.key.filter(|_| w.is_none()).map(|k| k.to_string());
+    let key = meta.key.filter(|_| w.is_none()).map(|k| k.to_string());
     let caller = w.map_or(key.as_deref(), |w| Some(&w.name));
     let path = head.uri.path_and_query();
     Fingerprint::of(&Identity {
@@ -232,12 +232,12 @@
 }
 
 /// Makes the job of a request. A workspace's rank goes before the rule's.
-fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, ask: &RequestMeta) -> Job {
+fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, meta: &RequestMeta) -> Job {
     let rank = rank.unwrap_or(rule.rank);
-    match &ask.model {
+    match &meta.model {
         Some(m) => {
-            let tokens = (ask.prompt_tokens, ask.max_output);
-            Job::generation(service.clone(), m.clone(), rank, tokens, &ask.parts)
+            let tokens = (meta.prompt_tokens, meta.max_output);
+            Job::generation(service.clone(), m.clone(), rank, tokens, &meta.parts)
         }
         None => Job::plain(service.clone(), rank),
     }
