--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -290,7 +290,7 @@
 /// A request that can't be understood.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: {why}"), visibility(pub))]
-pub struct BadAsk {
+pub struct ParseRequestError {
     /// The header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -387,7 +387,7 @@
     /// # Errors
     ///
     /// The header that can't be understood.
-    fn parse_request(&self, head: &RequestParts) -> Result<RequestMeta, BadAsk>;
+    fn parse_request(&self, head: &RequestParts) -> Result<RequestMeta, ParseRequestError>;
 
     /// Says what becomes of a caller's header on its way to an endpoint.
     fn request_header(&self, name: &HeaderName) -> Passage;
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -25,8 +25,8 @@
 use limehollow_edge::settings::parse;
 use limehollow_node::caller;
 use limehollow_node::edge::{
-    BadAsk, BadAskSnafu, Change, Changes, Feed, Judgement, Order, OrderReply, Passage, Protocol,
-    RequestMeta, Sending, States, Store, StoreError, Vm,
+    Change, Changes, Feed, Judgement, Order, OrderReply, ParseRequestError, ParseRequestSnafu,
+    Passage, Protocol, RequestMeta, Sending, States, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
 use limehollow_node::site::Site;
@@ -50,9 +50,9 @@
 pub struct Plain;
 
 impl Protocol for Plain {
-    fn parse_request(&self, head: &Parts) -> Result<RequestMeta, BadAsk> {
+    fn parse_request(&self, head: &Parts) -> Result<RequestMeta, ParseRequestError> {
         let Some(id) = head.headers.get(ID).and_then(|v| v.to_str().ok()) else {
-            return BadAskSnafu {
+            return ParseRequestSnafu {
                 header: "x-id",
                 why: "is missing",
             }
