--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -267,7 +267,7 @@
     /// The key with which it is asked. An address names nobody: callers stand behind several, and several behind one.
     pub key: Option<KeyDigest>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The model, where one is asked for.
     pub model: Option<ModelRef>,
     /// Tokens of its prompt.
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -95,7 +95,7 @@
     let Some(service) = rule.service(hash) else {
         return refuse(&site, &meta.id, Reason::NoEndpoint, LATER);
     };
-    let time = meta.patience.map_or(rule.timeout, |p| p.min(rule.timeout));
+    let time = meta.timeout.map_or(rule.timeout, |p| p.min(rule.timeout));
     let expiry = arrived + time;
     let limit = catalog.limits.body_bytes;
     let body = match read_body(&site, &meta.id, body, limit, expiry).await {
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -64,7 +64,7 @@
                 .headers
                 .get("x-key")
                 .map(|v| KeyDigest::of(v.to_str().expect("text"))),
-            patience: None,
+            timeout: None,
             model: head.headers.get("x-model").map(|v| ModelRef {
                 model: SmolStr::new(v.to_str().expect("text")),
                 adapter: None,
