--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -312,7 +312,7 @@
 
 /// What becomes of a header on its way through the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum HeaderPolicy {
     /// It goes on even where `Connection` names it: a request or an answer without it would be another one.
     Kept,
     /// It goes on, unless it concerns one connection only.
@@ -390,10 +390,10 @@
     fn parse_request(&self, head: &RequestParts) -> Result<RequestMeta, ParseRequestError>;
 
     /// Says what becomes of a caller's header on its way to an endpoint.
-    fn request_header(&self, name: &HeaderName) -> Passage;
+    fn request_header(&self, name: &HeaderName) -> HeaderPolicy;
 
     /// Says what becomes of an endpoint's header on its way to the caller.
-    fn answer_header(&self, name: &HeaderName) -> Passage;
+    fn answer_header(&self, name: &HeaderName) -> HeaderPolicy;
 
     /// Puts what an endpoint is told into a request's headers.
     fn address(&self, headers: &mut HeaderMap, s: &Sending<'_>);
--- a/crates/limehollow-node/src/passage.rs
+++ b/crates/limehollow-node/src/passage.rs
@@ -1,9 +1,9 @@
 //! Which headers go through the gateway.
 //!
 //! What a caller may say to an endpoint, and an endpoint to a caller, is the protocol's to know
-//! ([`Passage`]); what concerns one connection only is the same for every protocol over HTTP.
+//! ([`HeaderPolicy`]); what concerns one connection only is the same for every protocol over HTTP.
 
-use crate::edge::Passage;
+use crate::edge::HeaderPolicy;
 use http::header::{self, HeaderMap, HeaderName};
 
 /// The headers that concern one connection only (RFC 9110, section 7.6.1), and those that the HTTP library
@@ -26,17 +26,17 @@
 /// there would otherwise have another model's answer.
 pub fn clean<F>(headers: &mut HeaderMap, passage: F)
 where
-    F: Fn(&HeaderName) -> Passage,
+    F: Fn(&HeaderName) -> HeaderPolicy,
 {
     for name in named_by_connection(headers) {
-        if passage(&name) != Passage::Kept {
+        if passage(&name) != HeaderPolicy::Kept {
             headers.remove(name);
         }
     }
     for name in ONE_CONNECTION {
         headers.remove(name);
     }
-    let ours = headers.keys().filter(|n| passage(n) == Passage::Ours);
+    let ours = headers.keys().filter(|n| passage(n) == HeaderPolicy::Ours);
     let ours: Vec<HeaderName> = ours.cloned().collect();
     for name in ours {
         headers.remove(name);
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::dispatch::{Dispatch, LATER};
-use crate::edge::{Passage, Protocol, RequestMeta};
+use crate::edge::{HeaderPolicy, Protocol, RequestMeta};
 use crate::keys::{self, Denied};
 use crate::limits::{self, Wish};
 use crate::logbook::may_log;
@@ -120,7 +120,7 @@
     let homes = [&rule.homes[..], workspace.map_or(&[], |w| &w.homes[..])];
     passage::clean(&mut head.headers, |n| {
         match site.protocol.request_header(n) {
-            Passage::Credential if hides_keys => Passage::Ours,
+            HeaderPolicy::Credential if hides_keys => HeaderPolicy::Ours,
             p => p,
         }
     });
--- a/crates/limehollow-node/tests/passage.rs
+++ b/crates/limehollow-node/tests/passage.rs
@@ -1,14 +1,14 @@
 //! Which headers go through.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
-use limehollow_node::edge::Passage;
+use limehollow_node::edge::HeaderPolicy;
 use limehollow_node::passage::clean;
 
-fn passage(name: &HeaderName) -> Passage {
+fn passage(name: &HeaderName) -> HeaderPolicy {
     match name.as_str() {
-        "model" => Passage::Kept,
-        "reserve" => Passage::Ours,
-        _ => Passage::Passes,
+        "model" => HeaderPolicy::Kept,
+        "reserve" => HeaderPolicy::Ours,
+        _ => HeaderPolicy::Passes,
     }
 }
 
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -25,8 +25,8 @@
 use limehollow_edge::settings::parse;
 use limehollow_node::caller;
 use limehollow_node::edge::{
-    Change, Changes, Feed, Judgement, Order, OrderReply, ParseRequestError, ParseRequestSnafu,
-    Passage, Protocol, RequestMeta, Sending, States, Store, StoreError, Vm,
+    Change, Changes, Feed, HeaderPolicy, Judgement, Order, OrderReply, ParseRequestError,
+    ParseRequestSnafu, Protocol, RequestMeta, Sending, States, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
 use limehollow_node::site::Site;
@@ -75,20 +75,20 @@
         })
     }
 
-    fn request_header(&self, name: &HeaderName) -> Passage {
+    fn request_header(&self, name: &HeaderName) -> HeaderPolicy {
         match name.as_str() {
-            "x-id" | "host" => Passage::Kept,
-            "x-instance" | "x-reserve" | "x-workspace" => Passage::Ours,
-            "x-key" => Passage::Credential,
-            _ => Passage::Passes,
+            "x-id" | "host" => HeaderPolicy::Kept,
+            "x-instance" | "x-reserve" | "x-workspace" => HeaderPolicy::Ours,
+            "x-key" => HeaderPolicy::Credential,
+            _ => HeaderPolicy::Passes,
         }
     }
 
-    fn answer_header(&self, name: &HeaderName) -> Passage {
+    fn answer_header(&self, name: &HeaderName) -> HeaderPolicy {
         match name.as_str() {
-            "x-id" | "x-mark" => Passage::Kept,
-            "x-not-run" => Passage::Ours,
-            _ => Passage::Passes,
+            "x-id" | "x-mark" => HeaderPolicy::Kept,
+            "x-not-run" => HeaderPolicy::Ours,
+            _ => HeaderPolicy::Passes,
         }
     }
 
