--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -314,13 +314,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderPolicy {
     /// It goes on even where `Connection` names it: a request or an answer without it would be another one.
-    Kept,
+    Required,
     /// It goes on, unless it concerns one connection only.
-    Passes,
+    Forward,
     /// It says who asks, for the gateway where workspaces have keys; an endpoint doesn't see it then.
     Credential,
     /// It is the gateway's to say: what the other side sent is taken out.
-    Ours,
+    Reserved,
 }
 
 /// What the head of an endpoint's answer says.
--- a/crates/limehollow-node/src/passage.rs
+++ b/crates/limehollow-node/src/passage.rs
@@ -29,14 +29,16 @@
     F: Fn(&HeaderName) -> HeaderPolicy,
 {
     for name in named_by_connection(headers) {
-        if passage(&name) != HeaderPolicy::Kept {
+        if passage(&name) != HeaderPolicy::Required {
             headers.remove(name);
         }
     }
     for name in ONE_CONNECTION {
         headers.remove(name);
     }
-    let ours = headers.keys().filter(|n| passage(n) == HeaderPolicy::Ours);
+    let ours = headers
+        .keys()
+        .filter(|n| passage(n) == HeaderPolicy::Reserved);
     let ours: Vec<HeaderName> = ours.cloned().collect();
     for name in ours {
         headers.remove(name);
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -120,7 +120,7 @@
     let homes = [&rule.homes[..], workspace.map_or(&[], |w| &w.homes[..])];
     passage::clean(&mut head.headers, |n| {
         match site.protocol.request_header(n) {
-            HeaderPolicy::Credential if hides_keys => HeaderPolicy::Ours,
+            HeaderPolicy::Credential if hides_keys => HeaderPolicy::Reserved,
             p => p,
         }
     });
--- a/crates/limehollow-node/tests/passage.rs
+++ b/crates/limehollow-node/tests/passage.rs
@@ -6,9 +6,9 @@
 
 fn passage(name: &HeaderName) -> HeaderPolicy {
     match name.as_str() {
-        "model" => HeaderPolicy::Kept,
-        "reserve" => HeaderPolicy::Ours,
-        _ => HeaderPolicy::Passes,
+        "model" => HeaderPolicy::Required,
+        "reserve" => HeaderPolicy::Reserved,
+        _ => HeaderPolicy::Forward,
     }
 }
 
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -77,18 +77,18 @@
 
     fn request_header(&self, name: &HeaderName) -> HeaderPolicy {
         match name.as_str() {
-            "x-id" | "host" => HeaderPolicy::Kept,
-            "x-instance" | "x-reserve" | "x-workspace" => HeaderPolicy::Ours,
+            "x-id" | "host" => HeaderPolicy::Required,
+            "x-instance" | "x-reserve" | "x-workspace" => HeaderPolicy::Reserved,
             "x-key" => HeaderPolicy::Credential,
-            _ => HeaderPolicy::Passes,
+            _ => HeaderPolicy::Forward,
         }
     }
 
     fn answer_header(&self, name: &HeaderName) -> HeaderPolicy {
         match name.as_str() {
-            "x-id" | "x-mark" => HeaderPolicy::Kept,
-            "x-not-run" => HeaderPolicy::Ours,
-            _ => HeaderPolicy::Passes,
+            "x-id" | "x-mark" => HeaderPolicy::Required,
+            "x-not-run" => HeaderPolicy::Reserved,
+            _ => HeaderPolicy::Forward,
         }
     }
 
@@ -418,10 +418,10 @@
 
 /// A store in memory, which is away when a test says so.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(Arc<Mutex<Kept>>, Arc<Notify>);
+pub struct Memory(Arc<Mutex<Required>>, Arc<Notify>);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Required {
     changes: Vec<(Feed, Change)>,
     /// How often it came back from a copy.
     era: u64,
