--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -4,10 +4,10 @@
 use crate::attempt::{self, Failed, Room, Shows, Target};
 use crate::crash_probe;
 use crate::edge::{Feed, Protocol, RequestMeta, Sending};
+use crate::header_policy;
 use crate::keys::Pass;
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
-use crate::passage;
 use crate::place;
 use crate::relay::{Relay, Running, millis};
 use crate::room::{self, Closed};
@@ -412,7 +412,7 @@
 
     fn forward(&self, mut head: http::response::Parts, body: Outgoing<P>) -> Response<Outgoing<P>> {
         let protocol = &self.site.protocol;
-        passage::clean(&mut head.headers, |n| protocol.answer_header(n));
+        header_policy::clean(&mut head.headers, |n| protocol.answer_header(n));
         if may_log() {
             tracing::info!(
                 id = %self.meta.id,
--- a/crates/limehollow-node/src/passage.rs
+++ b/crates/limehollow-node/src/header_policy.rs
@@ -24,12 +24,12 @@
 ///
 /// What `Connection` names is taken out as well, unless the protocol keeps it: a caller that names the model
 /// there would otherwise have another model's answer.
-pub fn clean<F>(headers: &mut HeaderMap, passage: F)
+pub fn clean<F>(headers: &mut HeaderMap, policy: F)
 where
     F: Fn(&HeaderName) -> HeaderPolicy,
 {
     for name in named_by_connection(headers) {
-        if passage(&name) != HeaderPolicy::Required {
+        if policy(&name) != HeaderPolicy::Required {
             headers.remove(name);
         }
     }
@@ -38,7 +38,7 @@
     }
     let ours = headers
         .keys()
-        .filter(|n| passage(n) == HeaderPolicy::Reserved);
+        .filter(|n| policy(n) == HeaderPolicy::Reserved);
     let ours: Vec<HeaderName> = ours.cloned().collect();
     for name in ours {
         headers.remove(name);
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -7,7 +7,7 @@
 //! # A short tour
 //!
 //! * [`caller`] accepts connections, [`request`] is the life of one request, `dispatch` its way to endpoints, `place` which one it goes to, [`attempt`] one
-//!   try at an endpoint over a connection of [`pool`], [`relay`] a streamed answer, [`passage`] which headers go through.
+//!   try at an endpoint over a connection of [`pool`], [`relay`] a streamed answer, [`header_policy`] which headers go through.
 //! * [`keys`] says which requests may go on by their caller's key, [`limits`] whether their workspace's limit allows it, and
 //!   [`question`] is how VMs ask each other.
 //! * [`hearing`] takes in what endpoints say of what they want to be sent, and [`room`] is a request's part of an endpoint's limit.
@@ -34,6 +34,7 @@
 pub mod follow;
 mod follower;
 pub mod gossip;
+pub mod header_policy;
 pub mod hearing;
 pub mod keys;
 pub mod known;
@@ -45,7 +46,6 @@
 pub mod operator;
 mod order_task;
 pub mod outbox;
-pub mod passage;
 pub mod peer_state;
 mod place;
 pub mod pool;
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -3,11 +3,11 @@
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::dispatch::{Dispatch, LATER};
 use crate::edge::{HeaderPolicy, Protocol, RequestMeta};
+use crate::header_policy;
 use crate::keys::{self, Denied};
 use crate::limits::{self, Wish};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
-use crate::passage;
 use crate::relay::millis;
 use crate::site::Site;
 use bytes::Bytes;
@@ -118,7 +118,7 @@
     let fingerprint = fingerprint(workspace, &meta, &head, &body);
     let hides_keys = !catalog.workspaces.is_empty();
     let homes = [&rule.homes[..], workspace.map_or(&[], |w| &w.homes[..])];
-    passage::clean(&mut head.headers, |n| {
+    header_policy::clean(&mut head.headers, |n| {
         match site.protocol.request_header(n) {
             HeaderPolicy::Credential if hides_keys => HeaderPolicy::Reserved,
             p => p,
--- a/crates/limehollow-node/tests/passage.rs
+++ b/crates/limehollow-node/tests/header_policy.rs
@@ -2,9 +2,9 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use limehollow_node::edge::HeaderPolicy;
-use limehollow_node::passage::clean;
+use limehollow_node::header_policy::clean;
 
-fn passage(name: &HeaderName) -> HeaderPolicy {
+fn policy(name: &HeaderName) -> HeaderPolicy {
     match name.as_str() {
         "model" => HeaderPolicy::Required,
         "reserve" => HeaderPolicy::Reserved,
@@ -19,7 +19,7 @@
         let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
         h.append(name, HeaderValue::from_str(value).expect("a value"));
     }
-    clean(&mut h, passage);
+    clean(&mut h, policy);
     let text = |v: &HeaderValue| v.to_str().expect("text").to_owned();
     let left = h.iter().map(|(n, v)| (n.to_string(), text(v)));
     let mut left: Vec<(String, String)> = left.collect();
