--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -184,7 +184,7 @@
         may_send(site, to, pass)?;
         let asked = site.now();
         match c.sender.try_send_request(req).await {
-            Ok(response) => return judge(site, pool, response, c, (to, id, asked)),
+            Ok(response) => return check_answer(site, pool, response, c, (to, id, asked)),
             Err(mut e) => match e.take_message() {
                 Some(unsent) => req = unsent,
                 None => return Err(Failed::cut_off(e.error())),
@@ -198,7 +198,7 @@
     may_send(site, to, pass)?;
     let asked = site.now();
     match c.sender.try_send_request(req).await {
-        Ok(response) => judge(site, pool, response, c, (to, id, asked)),
+        Ok(response) => check_answer(site, pool, response, c, (to, id, asked)),
         Err(mut e) => Err(match e.take_message() {
             Some(_) => Failed::unsent(Shows::Nothing, format_smolstr!("{}", e.error())),
             None => Failed::cut_off(e.error()),
@@ -253,7 +253,7 @@
     }
 }
 
-fn judge<P>(
+fn check_answer<P>(
     site: &Site<P>,
     pool: &Pool,
     response: Response<Incoming>,
@@ -265,7 +265,9 @@
 {
     let (status, headers) = (response.status(), response.headers());
     connection.set_keep(keep(headers));
-    let judgement = site.protocol.judge(status, headers, id, &to.instance.id);
+    let judgement = site
+        .protocol
+        .classify_answer(status, headers, id, &to.instance.id);
     if is_from_target(judgement) {
         hearing::hear(site, to, asked, site.protocol.signals(status, headers));
     }
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -399,8 +399,13 @@
     fn address(&self, headers: &mut HeaderMap, s: &Sending<'_>);
 
     /// Reads the head of an answer to the request of this id, which was sent to this instance.
-    fn judge(&self, status: StatusCode, headers: &HeaderMap, id: &str, instance: &str)
-    -> Judgement;
+    fn classify_answer(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: &str,
+        instance: &str,
+    ) -> Judgement;
 
     /// Reads what an answer says of what its endpoint wants to be sent, whatever became of the request.
     fn signals(&self, status: StatusCode, headers: &HeaderMap) -> Signals;
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -101,7 +101,13 @@
         }
     }
 
-    fn judge(&self, status: StatusCode, headers: &HeaderMap, id: &str, _: &str) -> Judgement {
+    fn classify_answer(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: &str,
+        _: &str,
+    ) -> Judgement {
         if headers.get(ID).is_some_and(|v| v != id) {
             Judgement::Foreign
         } else if headers.contains_key(NOT_RUN) {
