--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One try at an endpoint.
 
-use crate::edge::{Judgement, Protocol};
+use crate::edge::{AnswerClass, Protocol};
 use crate::hearing;
 use crate::keys::{self, Pass};
 use crate::pool::{ConnectError, Connection, Pool};
@@ -238,16 +238,16 @@
 }
 
 /// Tells whether an answer is from the endpoint that was asked, so that what it says of itself counts.
-fn is_from_target(j: Judgement) -> bool {
+fn is_from_target(j: AnswerClass) -> bool {
     match j {
-        Judgement::Genuine
-        | Judgement::NotRun
-        | Judgement::Invalid
-        | Judgement::Misdirected {
+        AnswerClass::Genuine
+        | AnswerClass::NotRun
+        | AnswerClass::Invalid
+        | AnswerClass::Misdirected {
             other_instance: false,
         } => true,
-        Judgement::Foreign
-        | Judgement::Misdirected {
+        AnswerClass::Foreign
+        | AnswerClass::Misdirected {
             other_instance: true,
         } => false,
     }
@@ -265,23 +265,23 @@
 {
     let (status, headers) = (response.status(), response.headers());
     connection.set_keep(keep(headers));
-    let judgement = site
+    let class = site
         .protocol
         .classify_answer(status, headers, id, &to.instance.id);
-    if is_from_target(judgement) {
+    if is_from_target(class) {
         hearing::hear(site, to, asked, site.protocol.signals(status, headers));
     }
-    match judgement {
-        Judgement::Genuine => Ok(Answer {
+    match class {
+        AnswerClass::Genuine => Ok(Answer {
             response,
             connection,
         }),
-        Judgement::NotRun => {
+        AnswerClass::NotRun => {
             let why = format_smolstr!("status {}, not run", status.as_u16());
             pool.put_later(connection, Some(response.into_body()));
             Err(Failed::not_run(why, Shows::Nothing))
         }
-        Judgement::Misdirected { other_instance } => {
+        AnswerClass::Misdirected { other_instance } => {
             pool.put_later(connection, Some(response.into_body()));
             let why = SmolStr::new_static("misdirected, not run");
             let shows = if other_instance {
@@ -292,10 +292,10 @@
             Err(Failed::not_run(why, shows))
         }
         // The bytes on this connection can't be told apart any more: it is closed by the drop.
-        Judgement::Foreign => Err(Failed::broken(SmolStr::new_static(
+        AnswerClass::Foreign => Err(Failed::broken(SmolStr::new_static(
             "the answer is another request's",
         ))),
-        Judgement::Invalid => Err(Failed::broken(format_smolstr!(
+        AnswerClass::Invalid => Err(Failed::broken(format_smolstr!(
             "status {} without the endpoint's mark",
             status.as_u16()
         ))),
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -325,7 +325,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum AnswerClass {
     /// It is this request's answer, a success or a failure of the endpoint's own.
     Genuine,
     /// The endpoint did not run the request.
@@ -405,7 +405,7 @@
         headers: &HeaderMap,
         id: &str,
         instance: &str,
-    ) -> Judgement;
+    ) -> AnswerClass;
 
     /// Reads what an answer says of what its endpoint wants to be sent, whatever became of the request.
     fn signals(&self, status: StatusCode, headers: &HeaderMap) -> Signals;
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -25,7 +25,7 @@
 use limehollow_edge::settings::parse;
 use limehollow_node::caller;
 use limehollow_node::edge::{
-    Change, Changes, Feed, HeaderPolicy, Judgement, Order, OrderReply, ParseRequestError,
+    AnswerClass, Change, Changes, Feed, HeaderPolicy, Order, OrderReply, ParseRequestError,
     ParseRequestSnafu, Protocol, RequestMeta, Sending, States, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
@@ -107,15 +107,15 @@
         headers: &HeaderMap,
         id: &str,
         _: &str,
-    ) -> Judgement {
+    ) -> AnswerClass {
         if headers.get(ID).is_some_and(|v| v != id) {
-            Judgement::Foreign
+            AnswerClass::Foreign
         } else if headers.contains_key(NOT_RUN) {
-            Judgement::NotRun
+            AnswerClass::NotRun
         } else if status.is_success() && !headers.contains_key(MARK) {
-            Judgement::Invalid
+            AnswerClass::Invalid
         } else {
-            Judgement::Genuine
+            AnswerClass::Genuine
         }
     }
 
