--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::attempt::{self, Failed, Room, Shows, Target};
 use crate::crash_probe;
-use crate::edge::{Feed, Protocol, RequestMeta, Sending};
+use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
 use crate::keys::Pass;
 use crate::logbook::may_log;
@@ -344,7 +344,7 @@
         *req.method_mut() = self.head.method.clone();
         *req.uri_mut() = self.head.uri.clone();
         *req.headers_mut() = self.head.headers.clone();
-        let s = Sending {
+        let s = ForwardMeta {
             remaining: self.expiry.duration_since(now),
             instance: &c.to.instance.id,
             rank: self.job.rank,
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -299,7 +299,7 @@
 
 /// What the gateway tells an endpoint beside what the caller said.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct ForwardMeta<'a> {
     /// How long an answer is of use.
     pub remaining: Duration,
     /// The only instance that may run it.
@@ -396,7 +396,7 @@
     fn answer_header(&self, name: &HeaderName) -> HeaderPolicy;
 
     /// Puts what an endpoint is told into a request's headers.
-    fn address(&self, headers: &mut HeaderMap, s: &Sending<'_>);
+    fn address(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>);
 
     /// Reads the head of an answer to the request of this id, which was sent to this instance.
     fn classify_answer(
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -25,8 +25,8 @@
 use limehollow_edge::settings::parse;
 use limehollow_node::caller;
 use limehollow_node::edge::{
-    AnswerClass, Change, Changes, Feed, HeaderPolicy, Order, OrderReply, ParseRequestError,
-    ParseRequestSnafu, Protocol, RequestMeta, Sending, States, Store, StoreError, Vm,
+    AnswerClass, Change, Changes, Feed, ForwardMeta, HeaderPolicy, Order, OrderReply,
+    ParseRequestError, ParseRequestSnafu, Protocol, RequestMeta, States, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
 use limehollow_node::site::Site;
@@ -92,7 +92,7 @@
         }
     }
 
-    fn address(&self, headers: &mut HeaderMap, s: &Sending<'_>) {
+    fn address(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>) {
         let instance = HeaderValue::from_str(s.instance).expect("valid");
         headers.insert("x-instance", instance);
         if let Some(w) = s.workspace {
