--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -350,7 +350,9 @@
             rank: self.job.rank,
             workspace: self.pass.map(|p| p.workspace.as_str()),
         };
-        self.site.protocol.address(req.headers_mut(), &s);
+        self.site
+            .protocol
+            .set_forward_headers(req.headers_mut(), &s);
         req
     }
 
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -396,7 +396,7 @@
     fn answer_header(&self, name: &HeaderName) -> HeaderPolicy;
 
     /// Puts what an endpoint is told into a request's headers.
-    fn address(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>);
+    fn set_forward_headers(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>);
 
     /// Reads the head of an answer to the request of this id, which was sent to this instance.
     fn classify_answer(
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    fn address(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>) {
+    fn set_forward_headers(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>) {
         let instance = HeaderValue::from_str(s.instance).expect("valid");
         headers.insert("x-instance", instance);
         if let Some(w) = s.workspace {
