--- a/crates/limehollow-node/src/answer.rs
+++ b/crates/limehollow-node/src/answer.rs
@@ -107,7 +107,7 @@
     let mut res = Response::new(Either::Left(body));
     *res.status_mut() = status;
     if !id.is_empty() {
-        site.protocol.sign(res.headers_mut(), id);
+        site.protocol.set_request_id(res.headers_mut(), id);
     }
     res
 }
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -411,7 +411,7 @@
     fn signals(&self, status: StatusCode, headers: &HeaderMap) -> Signals;
 
     /// Marks an answer of the gateway's own with the request's id.
-    fn sign(&self, headers: &mut HeaderMap, id: &str);
+    fn set_request_id(&self, headers: &mut HeaderMap, id: &str);
 
     /// Makes the question for an endpoint's report.
     fn report(&self, instance: &str) -> Request<Full<Bytes>>;
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    fn sign(&self, headers: &mut HeaderMap, id: &str) {
+    fn set_request_id(&self, headers: &mut HeaderMap, id: &str) {
         headers.insert(ID, HeaderValue::from_str(id).expect("valid"));
     }
 
