--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -414,7 +414,7 @@
     fn set_request_id(&self, headers: &mut HeaderMap, id: &str);
 
     /// Makes the question for an endpoint's report.
-    fn report(&self, instance: &str) -> Request<Full<Bytes>>;
+    fn report_request(&self, instance: &str) -> Request<Full<Bytes>>;
 
     /// Reads an endpoint's report.
     ///
@@ -424,7 +424,7 @@
     fn read_report(&self, body: &[u8]) -> Result<EndpointReport, String>;
 
     /// Makes the request for an order.
-    fn order(&self, o: &Order<'_>) -> Request<Full<Bytes>>;
+    fn order_request(&self, o: &Order<'_>) -> Request<Full<Bytes>>;
 
     /// Reads the answer to an order.
     fn order_reply(&self, status: StatusCode) -> OrderReply;
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -386,7 +386,7 @@
     }
 
     async fn report(&self) -> Option<EndpointReport> {
-        let req = self.site.protocol.report(&self.to.instance.id);
+        let req = self.site.protocol.report_request(&self.to.instance.id);
         let call = async {
             let sent =
                 attempt::send(&self.site, &self.site.control_pool, &self.to, req, "", None).await;
@@ -433,7 +433,7 @@
             holder: &settings.name,
             fence,
         };
-        let req = self.site.protocol.order(&o);
+        let req = self.site.protocol.order_request(&o);
         let sent = attempt::send(&self.site, &self.site.control_pool, &self.to, req, "", None);
         let reply = match timeout(CALL_TIMEOUT, sent).await {
             Ok(Ok(answer)) => {
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -139,7 +139,7 @@
         headers.insert(ID, HeaderValue::from_str(id).expect("valid"));
     }
 
-    fn report(&self, _: &str) -> Request<Full<Bytes>> {
+    fn report_request(&self, _: &str) -> Request<Full<Bytes>> {
         Request::new(Full::default())
     }
 
@@ -147,7 +147,7 @@
         Err("no reports here".to_owned())
     }
 
-    fn order(&self, _: &Order<'_>) -> Request<Full<Bytes>> {
+    fn order_request(&self, _: &Order<'_>) -> Request<Full<Bytes>> {
         Request::new(Full::default())
     }
 
