--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -129,7 +129,7 @@
 
 /// What a request has of the limit that its endpoint may name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum LimitGrant {
     /// Nothing: it goes only where no limit is named.
     Unlimited,
     /// One request's part, since this moment.
@@ -148,7 +148,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What the request has of its limit.
-    pub room: Room,
+    pub room: LimitGrant,
 }
 
 /// An answer whose body is still to come, and the connection that it comes on.
@@ -225,10 +225,10 @@
     }
     let (now, wishes) = (site.now(), &known.balance.backpressure);
     let has_room = match to.room {
-        Room::Exempt => true,
-        Room::Unlimited => wishes.rate(to.key).is_none(),
+        LimitGrant::Exempt => true,
+        LimitGrant::Unlimited => wishes.rate(to.key).is_none(),
         // The sum over all VMs reckons with so much time between the grant and the sending.
-        Room::Granted(at) => now.saturating_duration_since(at) <= ON_THE_WAY,
+        LimitGrant::Granted(at) => now.saturating_duration_since(at) <= ON_THE_WAY,
     };
     if has_room && !wishes.rests(now, to.key) {
         Ok(())
--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -3,7 +3,7 @@
 //! One VM of the site gives all orders: the one that holds the lease (`lease`). It weighs demand
 //! several times a second and begins a task for each move (`order_task`).
 
-use crate::attempt::{Room, Target};
+use crate::attempt::{LimitGrant, Target};
 use crate::clock::Clock;
 use crate::edge::{Protocol, Store};
 use crate::known::Known;
@@ -275,7 +275,7 @@
                 key,
                 instance: e.instance.clone(),
                 address: e.address,
-                room: Room::Exempt,
+                room: LimitGrant::Exempt,
             },
         })
     }
--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -1,6 +1,6 @@
 //! Finds out whether an endpoint has crashed, after a connection to it has ended under a request.
 
-use crate::attempt::{Room, Target};
+use crate::attempt::{LimitGrant, Target};
 use crate::edge::Protocol;
 use crate::known::Known;
 use crate::site::Site;
@@ -47,7 +47,7 @@
         key,
         instance: e.instance.clone(),
         address: e.address,
-        room: Room::Exempt,
+        room: LimitGrant::Exempt,
     };
     match known.crash_watch.note_cut_off(now, &to.instance, c) {
         Suspicion::New if was_replaced => {
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! One request on its way: to which endpoints it goes, how often, and what its caller is told if none answers.
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
-use crate::attempt::{self, Failed, Room, Shows, Target};
+use crate::attempt::{self, Failed, LimitGrant, Shows, Target};
 use crate::crash_probe;
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
@@ -262,7 +262,7 @@
             key,
             instance: e.instance.clone(),
             address: e.address,
-            room: Room::Unlimited,
+            room: LimitGrant::Unlimited,
         };
         Ok(Chosen { to, expected_ms })
     }
--- a/crates/limehollow-node/src/room.rs
+++ b/crates/limehollow-node/src/room.rs
@@ -3,7 +3,7 @@
 //! An endpoint in need names the requests a second that it takes of all VMs together. The VMs share that as they share a
 //! workspace's limit, with a sum that holds whatever happens to them (`docs/design/backpressure.md`).
 
-use crate::attempt::{Room, Target};
+use crate::attempt::{LimitGrant, Target};
 use crate::edge::Protocol;
 use crate::limits::{self, NO_KEEPER, Wish};
 use crate::site::Site;
@@ -38,18 +38,18 @@
 /// # Errors
 ///
 /// In how long there is room, as far as is known.
-pub async fn take<P>(site: &Site<P>, to: &Target) -> Result<Room, Duration>
+pub async fn take<P>(site: &Site<P>, to: &Target) -> Result<LimitGrant, Duration>
 where
     P: Protocol,
 {
     if site.known().balance.backpressure.rate(to.key).is_none() {
-        return Ok(Room::Unlimited);
+        return Ok(LimitGrant::Unlimited);
     }
     let asked = site.now();
     let subject = Subject::Endpoint(to.instance.id.clone());
     match limits::take(site, &subject, 1.0).await {
         // It was granted after it was asked for.
-        Wish::Granted => Ok(Room::Granted(asked)),
+        Wish::Granted => Ok(LimitGrant::Granted(asked)),
         Wish::Over(wait) => Err(wait),
         // Who doesn't know that there is room sends nothing.
         Wish::Unanswered => Err(NO_KEEPER),
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -4,7 +4,7 @@
 
 use limehollow::backpressure::{RateSignal, Signals};
 use limehollow::instance::Instance;
-use limehollow_node::attempt::{Room, Target, may_send};
+use limehollow_node::attempt::{LimitGrant, Target, may_send};
 use limehollow_node::site::Site;
 use limehollow_node::{hearing, room};
 use rand::rngs::StdRng;
@@ -106,7 +106,7 @@
                 let mut e = endpoint.lock().expect("sound");
                 e.arrived += 1;
                 let knew = was_told.is_some_and(|t| asked - t >= TOLD_BEFORE);
-                if knew || matches!(to.room, Room::Granted(_)) {
+                if knew || matches!(to.room, LimitGrant::Granted(_)) {
                     e.counted.push(asked);
                 }
                 e.rate
@@ -164,7 +164,7 @@
         key,
         instance: instance(),
         address,
-        room: Room::Unlimited,
+        room: LimitGrant::Unlimited,
     };
     to.room = room::take(site, &to).await.ok()?;
     Some(to)
--- a/crates/limehollow-node/tests/evacuation.rs
+++ b/crates/limehollow-node/tests/evacuation.rs
@@ -5,7 +5,7 @@
 use limehollow::catalog::Rule;
 use limehollow::retry::Repeat;
 use limehollow::roster::Endpoint;
-use limehollow_node::attempt::{Room, Target, may_send};
+use limehollow_node::attempt::{LimitGrant, Target, may_send};
 use limehollow_node::edge::{Change, Feed};
 use limehollow_node::follow::follow;
 use limehollow_node::site::Site;
@@ -138,7 +138,7 @@
         key,
         instance,
         address: servers[0].address,
-        room: Room::Unlimited,
+        room: LimitGrant::Unlimited,
     };
     assert!(may_send(&g.site, &to, None).is_ok());
     g.site.known().roster.set_evacuated(&"a".into(), true);
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use http::Request;
 use limehollow::retry::Repeat;
-use limehollow_node::attempt::{Failed, Room, Target, send};
+use limehollow_node::attempt::{Failed, LimitGrant, Target, send};
 use limehollow_node::site::Site;
 use rig::{Does, Gateway, Plain, Server, answer, request, rule, settings, status};
 use std::sync::atomic::Ordering;
@@ -220,7 +220,7 @@
         key,
         instance: "i-0".into(),
         address: s.address,
-        room: Room::Unlimited,
+        room: LimitGrant::Unlimited,
     };
     let sent = send(&g.site, &g.site.pool, &to, Request::default(), "1", None).await;
     assert_eq!(sent.expect_err("it isn't sent"), Failed::gone());
