--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -6,11 +6,11 @@
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
 use crate::keys::Pass;
+use crate::limit_grant::{self, Closed};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
 use crate::place;
 use crate::relay::{Relay, Running, millis};
-use crate::room::{self, Closed};
 use crate::site::Site;
 use bytes::Bytes;
 use http::request::Parts;
@@ -159,7 +159,7 @@
             let (reason, after) = match choice {
                 Choice::To(key, expected_ms) => {
                     let mut chosen = self.admit(key, expected_ms)?;
-                    match room::take(self.site, &chosen.to).await {
+                    match limit_grant::acquire(self.site, &chosen.to).await {
                         Ok(room) => {
                             chosen.to.room = room;
                             return Ok(chosen);
--- a/crates/limehollow-node/src/room.rs
+++ b/crates/limehollow-node/src/limit_grant.rs
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// In how long there is room, as far as is known.
-pub async fn take<P>(site: &Site<P>, to: &Target) -> Result<LimitGrant, Duration>
+pub async fn acquire<P>(site: &Site<P>, to: &Target) -> Result<LimitGrant, Duration>
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -6,7 +6,7 @@
 use limehollow::instance::Instance;
 use limehollow_node::attempt::{LimitGrant, Target, may_send};
 use limehollow_node::site::Site;
-use limehollow_node::{hearing, room};
+use limehollow_node::{hearing, limit_grant};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rig::Plain;
@@ -166,7 +166,7 @@
         address,
         room: LimitGrant::Unlimited,
     };
-    to.room = room::take(site, &to).await.ok()?;
+    to.room = limit_grant::acquire(site, &to).await.ok()?;
     Some(to)
 }
 
