--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -148,7 +148,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What the request has of its limit.
-    pub room: LimitGrant,
+    pub grant: LimitGrant,
 }
 
 /// An answer whose body is still to come, and the connection that it comes on.
@@ -224,7 +224,7 @@
         return Err(Failed::gone());
     }
     let (now, wishes) = (site.now(), &known.balance.backpressure);
-    let has_room = match to.room {
+    let has_room = match to.grant {
         LimitGrant::Exempt => true,
         LimitGrant::Unlimited => wishes.rate(to.key).is_none(),
         // The sum over all VMs reckons with so much time between the grant and the sending.
--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -275,7 +275,7 @@
                 key,
                 instance: e.instance.clone(),
                 address: e.address,
-                room: LimitGrant::Exempt,
+                grant: LimitGrant::Exempt,
             },
         })
     }
--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -47,7 +47,7 @@
         key,
         instance: e.instance.clone(),
         address: e.address,
-        room: LimitGrant::Exempt,
+        grant: LimitGrant::Exempt,
     };
     match known.crash_watch.note_cut_off(now, &to.instance, c) {
         Suspicion::New if was_replaced => {
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -160,8 +160,8 @@
                 Choice::To(key, expected_ms) => {
                     let mut chosen = self.admit(key, expected_ms)?;
                     match limit_grant::acquire(self.site, &chosen.to).await {
-                        Ok(room) => {
-                            chosen.to.room = room;
+                        Ok(grant) => {
+                            chosen.to.grant = grant;
                             return Ok(chosen);
                         }
                         Err(wait) => closed.add(key, wait),
@@ -262,7 +262,7 @@
             key,
             instance: e.instance.clone(),
             address: e.address,
-            room: LimitGrant::Unlimited,
+            grant: LimitGrant::Unlimited,
         };
         Ok(Chosen { to, expected_ms })
     }
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -106,7 +106,7 @@
                 let mut e = endpoint.lock().expect("sound");
                 e.arrived += 1;
                 let knew = was_told.is_some_and(|t| asked - t >= TOLD_BEFORE);
-                if knew || matches!(to.room, LimitGrant::Granted(_)) {
+                if knew || matches!(to.grant, LimitGrant::Granted(_)) {
                     e.counted.push(asked);
                 }
                 e.rate
@@ -164,9 +164,9 @@
         key,
         instance: instance(),
         address,
-        room: LimitGrant::Unlimited,
+        grant: LimitGrant::Unlimited,
     };
-    to.room = limit_grant::acquire(site, &to).await.ok()?;
+    to.grant = limit_grant::acquire(site, &to).await.ok()?;
     Some(to)
 }
 
--- a/crates/limehollow-node/tests/evacuation.rs
+++ b/crates/limehollow-node/tests/evacuation.rs
@@ -138,7 +138,7 @@
         key,
         instance,
         address: servers[0].address,
-        room: LimitGrant::Unlimited,
+        grant: LimitGrant::Unlimited,
     };
     assert!(may_send(&g.site, &to, None).is_ok());
     g.site.known().roster.set_evacuated(&"a".into(), true);
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -220,7 +220,7 @@
         key,
         instance: "i-0".into(),
         address: s.address,
-        room: LimitGrant::Unlimited,
+        grant: LimitGrant::Unlimited,
     };
     let sent = send(&g.site, &g.site.pool, &to, Request::default(), "1", None).await;
     assert_eq!(sent.expect_err("it isn't sent"), Failed::gone());
