--- a/crates/limehollow-node/src/limit_grant.rs
+++ b/crates/limehollow-node/src/limit_grant.rs
@@ -5,7 +5,7 @@
 
 use crate::attempt::{LimitGrant, Target};
 use crate::edge::Protocol;
-use crate::limits::{self, NO_KEEPER, Wish};
+use crate::limits::{self, COORDINATOR_TAKEOVER, TokenOutcome};
 use crate::site::Site;
 use limehollow::id::EndpointKey;
 use limehollow::quota::Subject;
@@ -47,11 +47,11 @@
     }
     let asked = site.now();
     let subject = Subject::Endpoint(to.instance.id.clone());
-    match limits::take(site, &subject, 1.0).await {
+    match limits::acquire(site, &subject, 1.0).await {
         // It was granted after it was asked for.
-        Wish::Granted => Ok(LimitGrant::Granted(asked)),
-        Wish::Over(wait) => Err(wait),
+        TokenOutcome::Granted => Ok(LimitGrant::Granted(asked)),
+        TokenOutcome::OverLimit(wait) => Err(wait),
         // Who doesn't know that there is room sends nothing.
-        Wish::Unanswered => Err(NO_KEEPER),
+        TokenOutcome::Unanswered => Err(COORDINATOR_TAKEOVER),
     }
 }
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -30,26 +30,26 @@
 /// How many keepers a request asks at most.
 const MOST_ASKED: usize = 2;
 /// When to come back where no keeper answers: another has taken over then.
-pub(crate) const NO_KEEPER: Duration = Duration::from_millis(1000);
+pub(crate) const COORDINATOR_TAKEOVER: Duration = Duration::from_millis(1000);
 
 /// What became of a request's wish for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wish {
+pub(crate) enum TokenOutcome {
     /// It has them, or there is no limit.
     Granted,
     /// The limit is reached; when there is room.
-    Over(Duration),
+    OverLimit(Duration),
     /// No VM that keeps the pool has answered.
     Unanswered,
 }
 
 /// Takes tokens of a limit for a request.
-pub(crate) async fn take<P>(site: &Site<P>, subject: &Subject, tokens: f64) -> Wish
+pub(crate) async fn acquire<P>(site: &Site<P>, subject: &Subject, tokens: f64) -> TokenOutcome
 where
     P: Protocol,
 {
     if site.known().quotas.take(site.now(), subject, tokens) {
-        return Wish::Granted;
+        return TokenOutcome::Granted;
     }
     for keeper in keepers(site, subject) {
         let reply = match keeper {
@@ -57,15 +57,17 @@
             None => Some(grant(site, subject, tokens)),
         };
         match reply {
-            Some(Reply::Granted) => return Wish::Granted,
-            Some(Reply::Short(ms)) => return Wish::Over(Duration::from_millis(u64::from(ms))),
+            Some(Reply::Granted) => return TokenOutcome::Granted,
+            Some(Reply::Short(ms)) => {
+                return TokenOutcome::OverLimit(Duration::from_millis(u64::from(ms)));
+            }
             Some(_other) => {
                 tracing::debug!(?subject, ?keeper, "it doesn't keep the pool");
             }
             None => tracing::debug!(?subject, ?keeper, "the keeper of a pool is silent"),
         }
     }
-    Wish::Unanswered
+    TokenOutcome::Unanswered
 }
 
 /// Gives what a keeper is asked for, and how long it is waited for.
@@ -125,7 +127,7 @@
     let mut known = site.known();
     if !known.quotas.is_limited(subject) {
         // The limit is new, and this VM hasn't heard of it, or it has ended and the one that asks hasn't.
-        return Reply::Short(millis(NO_KEEPER));
+        return Reply::Short(millis(COORDINATOR_TAKEOVER));
     }
     let now = site.now();
     if !is_keeper(&known.peers, now, subject) {
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -5,7 +5,7 @@
 use crate::edge::{HeaderPolicy, Protocol, RequestMeta};
 use crate::header_policy;
 use crate::keys::{self, Denied};
-use crate::limits::{self, Wish};
+use crate::limits::{self, TokenOutcome};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
 use crate::relay::millis;
@@ -107,11 +107,16 @@
         .and_then(|p| catalog.workspaces.get(&p.workspace));
     let taken = workspace.map_or(0.0, |w| w.cost.of(meta.tokens()));
     if let Some(w) = workspace {
-        match limits::take(&site, &Subject::from(&w.name), taken).await {
-            Wish::Granted => {}
-            Wish::Over(after) => return over_limit(&site, &meta.id, &w.name, after),
-            Wish::Unanswered => {
-                return refuse(&site, &meta.id, Reason::LimitUnknown, limits::NO_KEEPER);
+        match limits::acquire(&site, &Subject::from(&w.name), taken).await {
+            TokenOutcome::Granted => {}
+            TokenOutcome::OverLimit(after) => return over_limit(&site, &meta.id, &w.name, after),
+            TokenOutcome::Unanswered => {
+                return refuse(
+                    &site,
+                    &meta.id,
+                    Reason::LimitUnknown,
+                    limits::COORDINATOR_TAKEOVER,
+                );
             }
         }
     }
