--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -168,7 +168,7 @@
 }
 
 /// Collects what VMs have earned, where this one keeps a pool, for as long as the process lives.
-pub async fn keep_pools<P>(site: Arc<Site<P>>)
+pub async fn collect_earnings<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -70,7 +70,7 @@
         Arc::clone(&outlet),
     ));
     tokio::spawn(keys::confirm(Arc::clone(&site)));
-    tokio::spawn(limits::keep_pools(Arc::clone(&site)));
+    tokio::spawn(limits::collect_earnings(Arc::clone(&site)));
     tokio::spawn(gossip::receive(
         Arc::clone(&site),
         outlet,
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -297,7 +297,7 @@
         vm.tasks
             .push(tokio::spawn(keys::confirm(Arc::clone(&vm.site))));
         vm.tasks
-            .push(tokio::spawn(limits::keep_pools(Arc::clone(&vm.site))));
+            .push(tokio::spawn(limits::collect_earnings(Arc::clone(&vm.site))));
         let (net, site, zone) = (self.net.clone(), Arc::clone(&vm.site), vm.zone);
         vm.tasks.push(tokio::spawn(async move {
             let mut sender = Sender::new(Arc::clone(&site));
