--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -160,7 +160,7 @@
         traffic::count(&site.metrics, Way::Received, &datagram, n, 1);
         let w = match datagram {
             Datagram::Message(w) => *w,
-            Datagram::Question(q) => {
+            Datagram::Query(q) => {
                 let answer = Datagram::Answer(question::answer(&site, q));
                 outlet.send(&answer, &[from]).await;
                 continue;
@@ -188,7 +188,7 @@
         return;
     };
     while let Some((to, q)) = rx.recv().await {
-        outlet.send(&Datagram::Question(q), &[to]).await;
+        outlet.send(&Datagram::Query(q), &[to]).await;
     }
 }
 
--- a/crates/limehollow-node/src/question.rs
+++ b/crates/limehollow-node/src/question.rs
@@ -6,7 +6,7 @@
 use crate::edge::Protocol;
 use crate::site::Site;
 use crate::{keys, limits, place, start};
-use limehollow_wire::gossip::{About, Answer, Question, Reply};
+use limehollow_wire::gossip::{About, Answer, Query, Reply};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -19,7 +19,7 @@
 const MOST_WAITING: usize = 2048;
 
 /// A question and to whom it goes.
-pub type Asked = (SocketAddr, Question);
+pub type Asked = (SocketAddr, Query);
 
 /// The questions of this VM that wait for answers.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
     ) -> Option<Reply> {
         let (number, answer) = self.expect()?;
         // Without a task that sends, as in some tests, nobody answers.
-        let _nobody = self.tx.send((to, Question { number, about }));
+        let _nobody = self.tx.send((to, Query { number, about }));
         let until = clock.now() + within;
         let answer = clock.timeout_at(until, answer).await;
         self.waiting().answers.remove(&number);
@@ -102,7 +102,7 @@
 }
 
 /// Answers another VM's question.
-pub fn answer<P>(site: &Site<P>, q: Question) -> Answer
+pub fn answer<P>(site: &Site<P>, q: Query) -> Answer
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -88,7 +88,7 @@
 /// Tells how much a datagram matters.
 pub(crate) fn urgency(d: &Datagram) -> Urgency {
     match d {
-        Datagram::Question(_) | Datagram::Answer(_) => Urgency::Answer,
+        Datagram::Query(_) | Datagram::Answer(_) => Urgency::Answer,
         Datagram::Message(m) => match (m.scope, m.forward) {
             (Scope::Change | Scope::News, _) => Urgency::News,
             (Scope::Vm, _) | (Scope::Zone, true) => Urgency::Regular,
@@ -101,7 +101,7 @@
 pub(crate) fn kind(d: &Datagram) -> &'static str {
     match d {
         Datagram::Message(m) => message_kind(m),
-        Datagram::Question(q) => match q.about {
+        Datagram::Query(q) => match q.about {
             About::Configuration => CONFIGURATION,
             About::Start(_) => START,
             About::Tokens { .. } => TOKENS,
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -8,7 +8,7 @@
 use limehollow_node::gossip::{Outgoing, hear};
 use limehollow_node::question;
 use limehollow_node::site::Site;
-use limehollow_wire::gossip::{About, Members, Question, State, encode_crashes, encode_state};
+use limehollow_wire::gossip::{About, Members, Query, State, encode_crashes, encode_state};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -85,7 +85,7 @@
         }
     }
 
-    fn note_question(&self, q: &Question) {
+    fn note_question(&self, q: &Query) {
         let about = match q.about {
             About::Configuration => "configuration",
             About::Start(_) => "start",
@@ -98,7 +98,7 @@
     }
 
     /// Brings a question to another VM and its answer back.
-    pub(super) async fn question(self, from: (usize, SocketAddr), to: SocketAddr, q: Question) {
+    pub(super) async fn question(self, from: (usize, SocketAddr), to: SocketAddr, q: Query) {
         self.note_question(&q);
         sleep(WAY).await;
         self.goes_on(to).await;
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -251,7 +251,7 @@
 
 /// What one VM asks of another by datagram, to be answered at once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// Names the question in its answer.
     pub number: u64,
     /// What is asked.
@@ -373,7 +373,7 @@
     /// What a VM tells others several times a second.
     Message(Box<Message>),
     /// A question.
-    Question(Question),
+    Query(Query),
     /// An answer.
     Answer(Answer),
 }
