--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -8,7 +8,7 @@
 use crate::site::Site;
 use limehollow::catalog::{Catalog, Rule};
 use limehollow::workspace::{KeyDigest, Workspace};
-use limehollow_wire::gossip::{About, Reply};
+use limehollow_wire::gossip::{QueryBody, Reply};
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -169,7 +169,7 @@
     let asked = site.now();
     let reply = site
         .questions
-        .ask(&site.clock, to, About::Configuration, ANSWER_WITHIN)
+        .ask(&site.clock, to, QueryBody::Configuration, ANSWER_WITHIN)
         .await;
     let Some(Reply::Configuration {
         position,
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -8,7 +8,7 @@
 use crate::site::Site;
 use limehollow::peers::Peers;
 use limehollow::quota::{COLLECT_EVERY, Grant, Subject};
-use limehollow_wire::gossip::{About, Reply};
+use limehollow_wire::gossip::{QueryBody, Reply};
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -105,11 +105,11 @@
 {
     let (duty, within) = duty(subject);
     for _ in 0..=ASKED_AGAIN {
-        let about = About::Tokens {
+        let body = QueryBody::Tokens {
             subject: subject.clone(),
             tokens,
         };
-        let asked = site.questions.ask(&site.clock, to, about, within);
+        let asked = site.questions.ask(&site.clock, to, body, within);
         if let Some(reply) = asked.await {
             return Some(reply);
         }
@@ -223,14 +223,14 @@
 where
     P: Protocol,
 {
-    let about = About::Earnings {
+    let body = QueryBody::Earnings {
         keeper: SmolStr::new(site.me.as_str()),
         vms_known: u16::try_from(site.known().quotas.vms()).unwrap_or(u16::MAX),
         subjects: subjects.to_vec(),
     };
     let reply = site
         .questions
-        .ask(&site.clock, from, about, COLLECT_WITHIN)
+        .ask(&site.clock, from, body, COLLECT_WITHIN)
         .await;
     let Some(Reply::Earnings(handed)) = reply else {
         return;
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -19,7 +19,7 @@
 use limehollow::instance::Instance;
 use limehollow::job::Job;
 use limehollow::roster::Endpoint;
-use limehollow_wire::gossip::{About, Place, Reply};
+use limehollow_wire::gossip::{Place, QueryBody, Reply};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -112,13 +112,13 @@
     P: Protocol,
 {
     let tried = unusable(site, job, tried)?;
-    let about = About::Place {
+    let body = QueryBody::Place {
         job: job.clone(),
         tried,
     };
     let reply = site
         .questions
-        .ask(&site.clock, to, about, KEEPER_WITHIN)
+        .ask(&site.clock, to, body, KEEPER_WITHIN)
         .await;
     let Some(Reply::Place(place)) = reply else {
         let now = site.now();
--- a/crates/limehollow-node/src/question.rs
+++ b/crates/limehollow-node/src/question.rs
@@ -6,7 +6,7 @@
 use crate::edge::Protocol;
 use crate::site::Site;
 use crate::{keys, limits, place, start};
-use limehollow_wire::gossip::{About, Answer, Query, Reply};
+use limehollow_wire::gossip::{Answer, Query, QueryBody, Reply};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -56,12 +56,12 @@
         &self,
         clock: &Clock,
         to: SocketAddr,
-        about: About,
+        body: QueryBody,
         within: Duration,
     ) -> Option<Reply> {
         let (number, answer) = self.expect()?;
         // Without a task that sends, as in some tests, nobody answers.
-        let _nobody = self.tx.send((to, Query { number, about }));
+        let _nobody = self.tx.send((to, Query { number, body }));
         let until = clock.now() + within;
         let answer = clock.timeout_at(until, answer).await;
         self.waiting().answers.remove(&number);
@@ -106,12 +106,12 @@
 where
     P: Protocol,
 {
-    let reply = match q.about {
-        About::Configuration => keys::confirmation(site),
-        About::Start(vm) => start::answer(site, &vm),
-        About::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
-        About::Place { job, tried } => place::answer(site, &job, &tried),
-        About::Earnings {
+    let reply = match q.body {
+        QueryBody::Configuration => keys::confirmation(site),
+        QueryBody::Start(vm) => start::answer(site, &vm),
+        QueryBody::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
+        QueryBody::Place { job, tried } => place::answer(site, &job, &tried),
+        QueryBody::Earnings {
             keeper,
             vms_known,
             subjects,
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -12,7 +12,7 @@
 use limehollow::id::ZoneName;
 use limehollow::log_position::LogPosition;
 use limehollow::start_tree::Giver;
-use limehollow_wire::gossip::{About, Introduction, Member, Members, Reply, State};
+use limehollow_wire::gossip::{Introduction, Member, Members, QueryBody, Reply, State};
 use rand::seq::SliceRandom;
 use smol_str::{SmolStr, format_smolstr};
 use std::net::{IpAddr, SocketAddr};
@@ -131,8 +131,8 @@
     P: Protocol,
     T: States,
 {
-    let about = About::Start(introduction(&myself(site)));
-    let reply = site.questions.ask(&site.clock, vm, about, ANSWER_WITHIN);
+    let body = QueryBody::Start(introduction(&myself(site)));
+    let reply = site.questions.ask(&site.clock, vm, body, ANSWER_WITHIN);
     let Some(Reply::Giver(giver)) = reply.await else {
         return Asked::Silent;
     };
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -5,7 +5,7 @@
 use crate::metrics::{ByKind, Metrics};
 use crate::site::Site;
 use limehollow::send_budget::Urgency;
-use limehollow_wire::gossip::{About, Datagram, Message, Scope};
+use limehollow_wire::gossip::{Datagram, Message, QueryBody, Scope};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,12 +101,12 @@
 pub(crate) fn kind(d: &Datagram) -> &'static str {
     match d {
         Datagram::Message(m) => message_kind(m),
-        Datagram::Query(q) => match q.about {
-            About::Configuration => CONFIGURATION,
-            About::Start(_) => START,
-            About::Tokens { .. } => TOKENS,
-            About::Place { .. } => PLACE,
-            About::Earnings { .. } => EARNINGS,
+        Datagram::Query(q) => match q.body {
+            QueryBody::Configuration => CONFIGURATION,
+            QueryBody::Start(_) => START,
+            QueryBody::Tokens { .. } => TOKENS,
+            QueryBody::Place { .. } => PLACE,
+            QueryBody::Earnings { .. } => EARNINGS,
         },
         Datagram::Answer(_) => ANSWER,
     }
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -8,7 +8,7 @@
 use limehollow_node::gossip::{Outgoing, hear};
 use limehollow_node::question;
 use limehollow_node::site::Site;
-use limehollow_wire::gossip::{About, Members, Query, State, encode_crashes, encode_state};
+use limehollow_wire::gossip::{Members, Query, QueryBody, State, encode_crashes, encode_state};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -86,12 +86,12 @@
     }
 
     fn note_question(&self, q: &Query) {
-        let about = match q.about {
-            About::Configuration => "configuration",
-            About::Start(_) => "start",
-            About::Tokens { .. } => "tokens",
-            About::Place { .. } => "place",
-            About::Earnings { .. } => "earnings",
+        let about = match q.body {
+            QueryBody::Configuration => "configuration",
+            QueryBody::Start(_) => "start",
+            QueryBody::Tokens { .. } => "tokens",
+            QueryBody::Place { .. } => "place",
+            QueryBody::Earnings { .. } => "earnings",
         };
         let mut ways = self.0.lock().expect("sound");
         *ways.questions.entry(about).or_default() += 1;
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -255,7 +255,7 @@
     /// Names the question in its answer.
     pub number: u64,
     /// What is asked.
-    pub about: About,
+    pub body: QueryBody,
 }
 
 /// What a VM says of itself to one that doesn't know it.
@@ -291,7 +291,7 @@
 
 /// What a question is about.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum About {
+pub enum QueryBody {
     /// How old the other's configuration is at most.
     Configuration,
     /// From whom this VM, which has just started, gets the site's state.
