--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -166,7 +166,7 @@
                 continue;
             }
             Datagram::Answer(a) => {
-                site.questions.answered(a);
+                site.queries.answered(a);
                 continue;
             }
         };
@@ -184,7 +184,7 @@
 where
     P: Protocol,
 {
-    let Some(mut rx) = site.questions.take_outgoing() else {
+    let Some(mut rx) = site.queries.take_outgoing() else {
         return;
     };
     while let Some((to, q)) = rx.recv().await {
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -168,7 +168,7 @@
 {
     let asked = site.now();
     let reply = site
-        .questions
+        .queries
         .ask(&site.clock, to, QueryBody::Configuration, ANSWER_WITHIN)
         .await;
     let Some(Reply::Configuration {
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -109,7 +109,7 @@
             subject: subject.clone(),
             tokens,
         };
-        let asked = site.questions.ask(&site.clock, to, body, within);
+        let asked = site.queries.ask(&site.clock, to, body, within);
         if let Some(reply) = asked.await {
             return Some(reply);
         }
@@ -229,7 +229,7 @@
         subjects: subjects.to_vec(),
     };
     let reply = site
-        .questions
+        .queries
         .ask(&site.clock, from, body, COLLECT_WITHIN)
         .await;
     let Some(Reply::Earnings(handed)) = reply else {
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -116,10 +116,7 @@
         job: job.clone(),
         tried,
     };
-    let reply = site
-        .questions
-        .ask(&site.clock, to, body, KEEPER_WITHIN)
-        .await;
+    let reply = site.queries.ask(&site.clock, to, body, KEEPER_WITHIN).await;
     let Some(Reply::Place(place)) = reply else {
         let now = site.now();
         let mut known = site.known();
--- a/crates/limehollow-node/src/question.rs
+++ b/crates/limehollow-node/src/question.rs
@@ -23,7 +23,7 @@
 
 /// The questions of this VM that wait for answers.
 #[derive(Debug)]
-pub struct Questions {
+pub struct PendingQueries {
     tx: UnboundedSender<Asked>,
     rx: Mutex<Option<UnboundedReceiver<Asked>>>,
     waiting: Mutex<Waiting>,
@@ -36,7 +36,7 @@
     answers: HashMap<u64, oneshot::Sender<Reply>>,
 }
 
-impl Default for Questions {
+impl Default for PendingQueries {
     fn default() -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
         Self {
@@ -50,7 +50,7 @@
     }
 }
 
-impl Questions {
+impl PendingQueries {
     /// Asks another VM and waits for its answer for so long; gives none if there was none.
     pub(crate) async fn ask(
         &self,
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -8,7 +8,7 @@
 use crate::known::{Known, StoreReturn};
 use crate::metrics::Metrics;
 use crate::pool::Pool;
-use crate::question::Questions;
+use crate::question::PendingQueries;
 use crate::settings::NodeSettings;
 use crate::start;
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -73,7 +73,7 @@
     /// Told when there is a VM that the store doesn't show.
     pub vm_unlisted: Notify,
     /// Questions to other VMs.
-    pub questions: Questions,
+    pub queries: PendingQueries,
     /// Told when the holder of the lease has resigned.
     pub lease_free: Notify,
     list_tx: UnboundedSender<ListChanges>,
@@ -115,7 +115,7 @@
             quarantine_differs: Notify::new(),
             quarantine_unsaved: Notify::new(),
             vm_unlisted: Notify::new(),
-            questions: Questions::default(),
+            queries: PendingQueries::default(),
             lease_free: Notify::new(),
             eased: Notify::new(),
             configuration_behind: Notify::new(),
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -132,7 +132,7 @@
     T: States,
 {
     let body = QueryBody::Start(introduction(&myself(site)));
-    let reply = site.questions.ask(&site.clock, vm, body, ANSWER_WITHIN);
+    let reply = site.queries.ask(&site.clock, vm, body, ANSWER_WITHIN);
     let Some(Reply::Giver(giver)) = reply.await else {
         return Asked::Silent;
     };
--- a/crates/limehollow-node/tests/keys.rs
+++ b/crates/limehollow-node/tests/keys.rs
@@ -173,11 +173,11 @@
     for vms in [8, 69] {
         let fleet = start(vms).await;
         let (asked, called) = (
-            fleet.questions("configuration"),
+            fleet.queries("configuration"),
             fleet.store.calls(Feed::Configuration),
         );
         sleep(Duration::from_secs(20)).await;
-        let asked = fleet.questions("configuration") - asked;
+        let asked = fleet.queries("configuration") - asked;
         let called = fleet.store.calls(Feed::Configuration) - called;
         assert!(asked <= vms * 22, "{asked} questions of {vms} VMs");
         // Three readers, each every 1.35 s, and two VMs a zone that wait 25 s at a time.
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -286,10 +286,7 @@
             .push(tokio::spawn(follow_peers(Arc::clone(&vm.site), states)));
         let (net, site, from) = (self.net.clone(), Arc::clone(&vm.site), (vm.zone, address));
         vm.tasks.push(tokio::spawn(async move {
-            let mut rx = site
-                .questions
-                .take_outgoing()
-                .expect("nobody else takes it");
+            let mut rx = site.queries.take_outgoing().expect("nobody else takes it");
             while let Some((to, q)) = rx.recv().await {
                 tokio::spawn(net.clone().question(from, to, q));
             }
@@ -412,9 +409,9 @@
     }
 
     /// Gives how many questions about something were sent so far.
-    pub fn questions(&self, about: &str) -> usize {
+    pub fn queries(&self, about: &str) -> usize {
         let ways = self.net.0.lock().expect("sound");
-        ways.questions.get(about).copied().unwrap_or(0)
+        ways.queries.get(about).copied().unwrap_or(0)
     }
 
     /// Counts the VMs whose keys count.
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -36,7 +36,7 @@
     /// VMs that stand still: what reaches them waits.
     pub(super) still: BTreeSet<SocketAddr>,
     /// Questions that were sent, by what they are about.
-    pub(super) questions: BTreeMap<&'static str, usize>,
+    pub(super) queries: BTreeMap<&'static str, usize>,
     /// Bytes of records of crashing requests that reached each VM.
     pub(super) crash_bytes: BTreeMap<SocketAddr, usize>,
     /// Until when each VM's link is full with states that it hands over, and how many it has handed over.
@@ -94,7 +94,7 @@
             QueryBody::Earnings { .. } => "earnings",
         };
         let mut ways = self.0.lock().expect("sound");
-        *ways.questions.entry(about).or_default() += 1;
+        *ways.queries.entry(about).or_default() += 1;
     }
 
     /// Brings a question to another VM and its answer back.
@@ -112,7 +112,7 @@
         sleep(WAY).await;
         self.goes_on(from.1).await;
         if let Some((_, asker)) = self.reach(from.0, from.1) {
-            asker.questions.answered(answer);
+            asker.queries.answered(answer);
         }
     }
 
