--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -8,7 +8,7 @@
 use crate::known::Known;
 use crate::logbook;
 use crate::metrics::{By, Metrics};
-use crate::question;
+use crate::query;
 pub use crate::receiver::hear;
 use crate::sender::GONE_SAID_FOR;
 pub use crate::sender::{Outgoing, Sender};
@@ -161,7 +161,7 @@
         let w = match datagram {
             Datagram::Message(w) => *w,
             Datagram::Query(q) => {
-                let answer = Datagram::Answer(question::answer(&site, q));
+                let answer = Datagram::Answer(query::answer(&site, q));
                 outlet.send(&answer, &[from]).await;
                 continue;
             }
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -9,7 +9,7 @@
 //! * [`caller`] accepts connections, [`request`] is the life of one request, `dispatch` its way to endpoints, `place` which one it goes to, [`attempt`] one
 //!   try at an endpoint over a connection of [`pool`], [`relay`] a streamed answer, [`header_policy`] which headers go through.
 //! * [`keys`] says which requests may go on by their caller's key, [`limits`] whether their workspace's limit allows it, and
-//!   [`question`] is how VMs ask each other.
+//!   [`query`] is how VMs ask each other.
 //! * [`hearing`] takes in what endpoints say of what they want to be sent, and [`limit_grant`] is a request's part of an endpoint's limit.
 //! * `crash_probe` finds out whether an endpoint has crashed, and [`quarantine_sync`] has all VMs know which requests do that.
 //! * [`start`] is how a VM gets to know the site.
@@ -51,7 +51,7 @@
 mod place;
 pub mod pool;
 pub mod quarantine_sync;
-pub mod question;
+pub mod query;
 pub mod reading;
 mod receiver;
 pub mod relay;
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -8,7 +8,7 @@
 use crate::known::{Known, StoreReturn};
 use crate::metrics::Metrics;
 use crate::pool::Pool;
-use crate::question::PendingQueries;
+use crate::query::PendingQueries;
 use crate::settings::NodeSettings;
 use crate::start;
 use arc_swap::{ArcSwap, ArcSwapOption};
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -288,7 +288,7 @@
         vm.tasks.push(tokio::spawn(async move {
             let mut rx = site.queries.take_outgoing().expect("nobody else takes it");
             while let Some((to, q)) = rx.recv().await {
-                tokio::spawn(net.clone().question(from, to, q));
+                tokio::spawn(net.clone().query(from, to, q));
             }
         }));
         vm.tasks
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -6,7 +6,7 @@
 use limehollow::log_position::LogPosition;
 use limehollow_node::edge::States;
 use limehollow_node::gossip::{Outgoing, hear};
-use limehollow_node::question;
+use limehollow_node::query;
 use limehollow_node::site::Site;
 use limehollow_wire::gossip::{Members, Query, QueryBody, State, encode_crashes, encode_state};
 use std::collections::{BTreeMap, BTreeSet};
@@ -85,7 +85,7 @@
         }
     }
 
-    fn note_question(&self, q: &Query) {
+    fn note_query(&self, q: &Query) {
         let about = match q.body {
             QueryBody::Configuration => "configuration",
             QueryBody::Start(_) => "start",
@@ -98,8 +98,8 @@
     }
 
     /// Brings a question to another VM and its answer back.
-    pub(super) async fn question(self, from: (usize, SocketAddr), to: SocketAddr, q: Query) {
-        self.note_question(&q);
+    pub(super) async fn query(self, from: (usize, SocketAddr), to: SocketAddr, q: Query) {
+        self.note_query(&q);
         sleep(WAY).await;
         self.goes_on(to).await;
         let Some((_, site)) = self.reach(from.0, to) else {
@@ -108,7 +108,7 @@
         if self.loses() {
             return;
         }
-        let answer = question::answer(&site, q);
+        let answer = query::answer(&site, q);
         sleep(WAY).await;
         self.goes_on(from.1).await;
         if let Some((_, asker)) = self.reach(from.0, from.1) {
