--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -7,7 +7,7 @@
 use crate::quarantine_sync::Said;
 use crate::reading::Readings;
 use crate::settings::NodeSettings;
-use crate::silence::Silences;
+use crate::unresponsive::UnresponsiveVms;
 use limehollow::arrivals::Arrivals;
 use limehollow::balance::{Balance, Taken};
 use limehollow::candidacy::{Candidacy, Notice};
@@ -133,7 +133,7 @@
     /// From whom those get the state that asked this VM at their start.
     pub start_tree: StartTree,
     /// VMs that keep pools or places and were silent lately.
-    pub silences: Silences,
+    pub unresponsive: UnresponsiveVms,
     /// What the other VMs said last of what they know of such requests, and where to ask for it.
     pub quarantines: BTreeMap<SmolStr, Said>,
 }
@@ -191,7 +191,7 @@
             is_listed: false,
             unlisted: BTreeMap::new(),
             start_tree: StartTree::default(),
-            silences: Silences::default(),
+            unresponsive: UnresponsiveVms::default(),
             quarantines: BTreeMap::new(),
         }
     }
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -4,8 +4,8 @@
 //! itself: the leader of the first zone, in an order by the name of the workspace or the id of the endpoint, that is heard.
 
 use crate::edge::Protocol;
-use crate::silence::Duty;
 use crate::site::Site;
+use crate::unresponsive::Duty;
 use limehollow::peers::Peers;
 use limehollow::quota::{COLLECT_EVERY, Grant, Subject};
 use limehollow_wire::gossip::{QueryBody, Reply};
@@ -86,7 +86,7 @@
     let now = site.now();
     let known = site.known();
     let (duty, _) = duty(subject);
-    let silent = |a: &SocketAddr| known.silences.contains(now, duty, *a);
+    let silent = |a: &SocketAddr| known.unresponsive.contains(now, duty, *a);
     let all = known.peers.keepers(now, subject.name()).into_iter();
     let speaking = all.filter(|k| !k.as_ref().is_some_and(silent));
     speaking.take(MOST_ASKED).collect()
@@ -115,7 +115,7 @@
         }
     }
     let now = site.now();
-    site.known().silences.note(now, duty, to, SILENT_FOR);
+    site.known().unresponsive.note(now, duty, to, SILENT_FOR);
     None
 }
 
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -11,8 +11,8 @@
 use crate::edge::Protocol;
 use crate::known::Known;
 use crate::settings::ChoicePolicy;
-use crate::silence::Duty;
 use crate::site::Site;
+use crate::unresponsive::Duty;
 use limehollow::balance::{Bounds, Choice};
 use limehollow::catalog::Catalog;
 use limehollow::id::EndpointKey;
@@ -102,7 +102,7 @@
     let known = site.known();
     match known.peers.keepers(now, &m.model).first() {
         Some(None) => Chooser::Keeper,
-        Some(Some(a)) if !known.silences.contains(now, Duty::Places, *a) => Chooser::Other(*a),
+        Some(Some(a)) if !known.unresponsive.contains(now, Duty::Places, *a) => Chooser::Other(*a),
         _ => Chooser::Alone,
     }
 }
@@ -120,7 +120,7 @@
     let Some(Reply::Place(place)) = reply else {
         let now = site.now();
         let mut known = site.known();
-        known.silences.note(now, Duty::Places, to, SILENT_FOR);
+        known.unresponsive.note(now, Duty::Places, to, SILENT_FOR);
         return None;
     };
     match place {
--- a/crates/limehollow-node/src/silence.rs
+++ b/crates/limehollow-node/src/unresponsive.rs
@@ -18,11 +18,11 @@
 
 /// Until when VMs aren't asked that were silent.
 #[derive(Debug, Default)]
-pub struct Silences {
+pub struct UnresponsiveVms {
     until: BTreeMap<(Duty, SocketAddr), Instant>,
 }
 
-impl Silences {
+impl UnresponsiveVms {
     /// Notes that a VM was silent, so that it isn't asked for some time.
     pub(crate) fn note(&mut self, now: Instant, duty: Duty, vm: SocketAddr, time: Duration) {
         self.until.retain(|_, until| now < *until);
