--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -5,7 +5,7 @@
 
 use crate::edge::Protocol;
 use crate::site::Site;
-use crate::unresponsive::Duty;
+use crate::unresponsive::QueryKind;
 use limehollow::peers::Peers;
 use limehollow::quota::{COLLECT_EVERY, Grant, Subject};
 use limehollow_wire::gossip::{QueryBody, Reply};
@@ -21,7 +21,7 @@
 /// A datagram may be lost too, so it is asked once more.
 const KEEPER_WITHIN: Duration = Duration::from_millis(120);
 /// How long it is waited for where an endpoint's limit is asked for: a request has others to go to, or is refused at once.
-const ROOM_WITHIN: Duration = Duration::from_millis(40);
+const ENDPOINT_TOKENS_WITHIN: Duration = Duration::from_millis(40);
 const ASKED_AGAIN: usize = 1;
 /// For how long a keeper that was silent twice isn't asked again: another takes over in a second.
 const SILENT_FOR: Duration = Duration::from_millis(300);
@@ -71,10 +71,10 @@
 }
 
 /// Gives what a keeper is asked for, and how long it is waited for.
-fn duty(subject: &Subject) -> (Duty, Duration) {
+fn kind(subject: &Subject) -> (QueryKind, Duration) {
     match subject {
-        Subject::Workspace(_) => (Duty::Tokens, KEEPER_WITHIN),
-        Subject::Endpoint(_) => (Duty::Room, ROOM_WITHIN),
+        Subject::Workspace(_) => (QueryKind::WorkspaceTokens, KEEPER_WITHIN),
+        Subject::Endpoint(_) => (QueryKind::EndpointTokens, ENDPOINT_TOKENS_WITHIN),
     }
 }
 
@@ -85,8 +85,8 @@
 {
     let now = site.now();
     let known = site.known();
-    let (duty, _) = duty(subject);
-    let silent = |a: &SocketAddr| known.unresponsive.contains(now, duty, *a);
+    let (kind, _) = kind(subject);
+    let silent = |a: &SocketAddr| known.unresponsive.contains(now, kind, *a);
     let all = known.peers.keepers(now, subject.name()).into_iter();
     let speaking = all.filter(|k| !k.as_ref().is_some_and(silent));
     speaking.take(MOST_ASKED).collect()
@@ -103,7 +103,7 @@
 where
     P: Protocol,
 {
-    let (duty, within) = duty(subject);
+    let (kind, within) = kind(subject);
     for _ in 0..=ASKED_AGAIN {
         let body = QueryBody::Tokens {
             subject: subject.clone(),
@@ -115,7 +115,7 @@
         }
     }
     let now = site.now();
-    site.known().unresponsive.note(now, duty, to, SILENT_FOR);
+    site.known().unresponsive.note(now, kind, to, SILENT_FOR);
     None
 }
 
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -12,7 +12,7 @@
 use crate::known::Known;
 use crate::settings::ChoicePolicy;
 use crate::site::Site;
-use crate::unresponsive::Duty;
+use crate::unresponsive::QueryKind;
 use limehollow::balance::{Bounds, Choice};
 use limehollow::catalog::Catalog;
 use limehollow::id::EndpointKey;
@@ -102,7 +102,9 @@
     let known = site.known();
     match known.peers.keepers(now, &m.model).first() {
         Some(None) => Chooser::Keeper,
-        Some(Some(a)) if !known.unresponsive.contains(now, Duty::Places, *a) => Chooser::Other(*a),
+        Some(Some(a)) if !known.unresponsive.contains(now, QueryKind::Assignment, *a) => {
+            Chooser::Other(*a)
+        }
         _ => Chooser::Alone,
     }
 }
@@ -120,7 +122,9 @@
     let Some(Reply::Place(place)) = reply else {
         let now = site.now();
         let mut known = site.known();
-        known.unresponsive.note(now, Duty::Places, to, SILENT_FOR);
+        known
+            .unresponsive
+            .note(now, QueryKind::Assignment, to, SILENT_FOR);
         return None;
     };
     match place {
