--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -19,7 +19,7 @@
 use limehollow::instance::Instance;
 use limehollow::job::Job;
 use limehollow::roster::Endpoint;
-use limehollow_wire::gossip::{Place, QueryBody, Reply};
+use limehollow_wire::gossip::{Assignment, QueryBody, Reply};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -114,12 +114,12 @@
     P: Protocol,
 {
     let tried = unusable(site, job, tried)?;
-    let body = QueryBody::Place {
+    let body = QueryBody::Assignment {
         job: job.clone(),
         tried,
     };
     let reply = site.queries.ask(&site.clock, to, body, KEEPER_WITHIN).await;
-    let Some(Reply::Place(place)) = reply else {
+    let Some(Reply::Assignment(assignment)) = reply else {
         let now = site.now();
         let mut known = site.known();
         known
@@ -127,8 +127,8 @@
             .note(now, QueryKind::Assignment, to, SILENT_FOR);
         return None;
     };
-    match place {
-        Place::At(instance, expected_ms) => {
+    match assignment {
+        Assignment::Endpoint(instance, expected_ms) => {
             let known = site.known();
             let key = known.roster.find(&instance)?;
             let is_usable = |e: &&Endpoint| known.roster.takes_work(key) && job.may_run_in(&e.zone);
@@ -138,9 +138,9 @@
             let takes = known.balance.takes(now, key, e) && !is_closed;
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
-        Place::Crowded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
+        Assignment::Overloaded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
         // What the keeper doesn't know of, this VM may.
-        Place::Nowhere => None,
+        Assignment::NoEndpoint => None,
     }
 }
 
@@ -179,28 +179,28 @@
     P: Protocol,
 {
     let Some(catalog) = site.catalog.load_full() else {
-        return Reply::Place(Place::Nowhere);
+        return Reply::Assignment(Assignment::NoEndpoint);
     };
     let tried: Vec<EndpointKey> = {
         let known = site.known();
         tried.iter().filter_map(|i| known.roster.find(i)).collect()
     };
     #[expect(clippy::cast_possible_truncation, reason = "rounding is harmless")]
-    let place = match promise(site, &catalog, job, &tried) {
+    let assignment = match promise(site, &catalog, job, &tried) {
         Choice::To(key, expected_ms) => {
             let known = site.known();
             let e = known.roster.get(key);
-            e.map_or(Place::Nowhere, |e| {
-                Place::At(e.instance.clone(), expected_ms as f32)
+            e.map_or(Assignment::NoEndpoint, |e| {
+                Assignment::Endpoint(e.instance.clone(), expected_ms as f32)
             })
         }
-        Choice::Crowded(expected_ms) => Place::Crowded(expected_ms as f32),
+        Choice::Crowded(expected_ms) => Assignment::Overloaded(expected_ms as f32),
         // What rests for this VM may not for the one that asks.
         Choice::Resting(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
-            Place::Nowhere
+            Assignment::NoEndpoint
         }
     };
-    Reply::Place(place)
+    Reply::Assignment(assignment)
 }
 
 fn bounds(catalog: &Catalog, job: &Job) -> Bounds {
--- a/crates/limehollow-node/src/query.rs
+++ b/crates/limehollow-node/src/query.rs
@@ -110,7 +110,7 @@
         QueryBody::Configuration => keys::confirmation(site),
         QueryBody::Start(vm) => start::answer(site, &vm),
         QueryBody::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
-        QueryBody::Place { job, tried } => place::answer(site, &job, &tried),
+        QueryBody::Assignment { job, tried } => place::answer(site, &job, &tried),
         QueryBody::Earnings {
             keeper,
             vms_known,
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -105,7 +105,7 @@
             QueryBody::Configuration => CONFIGURATION,
             QueryBody::Start(_) => START,
             QueryBody::Tokens { .. } => TOKENS,
-            QueryBody::Place { .. } => PLACE,
+            QueryBody::Assignment { .. } => PLACE,
             QueryBody::Earnings { .. } => EARNINGS,
         },
         Datagram::Answer(_) => ANSWER,
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -90,7 +90,7 @@
             QueryBody::Configuration => "configuration",
             QueryBody::Start(_) => "start",
             QueryBody::Tokens { .. } => "tokens",
-            QueryBody::Place { .. } => "place",
+            QueryBody::Assignment { .. } => "place",
             QueryBody::Earnings { .. } => "earnings",
         };
         let mut ways = self.0.lock().expect("sound");
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -304,7 +304,7 @@
         tokens: f64,
     },
     /// Where a job goes; the other keeps the places of its endpoints.
-    Place {
+    Assignment {
         /// The job.
         job: Job,
         /// Endpoints that were tried already.
@@ -323,13 +323,13 @@
 
 /// Where a job goes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Place {
+pub enum Assignment {
     /// To this endpoint, which is expected to give a first result after so many ms.
-    At(Instance, f32),
+    Endpoint(Instance, f32),
     /// All that hold its model have too many prompts to read; the first result would come after so many ms.
-    Crowded(f32),
+    Overloaded(f32),
     /// The VM that was asked knows of no endpoint.
-    Nowhere,
+    NoEndpoint,
 }
 
 /// The answer to a question.
@@ -362,7 +362,7 @@
     /// Another VM keeps the pool, as far as this one knows.
     NotKeeper,
     /// Where the job goes.
-    Place(Place),
+    Assignment(Assignment),
     /// What was handed over of each limit, in the order of the question; none where another VM keeps the pool.
     Earnings(Vec<Option<f64>>),
 }
