--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -1,6 +1,7 @@
 //! One request on its way: to which endpoints it goes, how often, and what its caller is told if none answers.
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
+use crate::assignment;
 use crate::attempt::{self, Failed, LimitGrant, Shows, Target};
 use crate::crash_probe;
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
@@ -9,7 +10,6 @@
 use crate::limit_grant::{self, Closed};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
-use crate::place;
 use crate::relay::{Relay, Running, millis};
 use crate::site::Site;
 use bytes::Bytes;
@@ -155,7 +155,7 @@
                 Standing::Quarantined(left) => return Err((Reason::Quarantined, left)),
             };
             let unusable = [&self.tried[..], closed.keys()].concat();
-            let choice = place::choose(self.site, self.catalog, &self.job, &unusable).await;
+            let choice = assignment::choose(self.site, self.catalog, &self.job, &unusable).await;
             let (reason, after) = match choice {
                 Choice::To(key, expected_ms) => {
                     let mut chosen = self.admit(key, expected_ms)?;
@@ -217,7 +217,7 @@
         if f.shows == Shows::KeyGone {
             return SOON;
         }
-        match place::look(self.site, self.catalog, &self.job) {
+        match assignment::look(self.site, self.catalog, &self.job) {
             Choice::Resting(wait) => spread(wait),
             _ => SOON,
         }
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! # A short tour
 //!
-//! * [`caller`] accepts connections, [`request`] is the life of one request, `dispatch` its way to endpoints, `place` which one it goes to, [`attempt`] one
+//! * [`caller`] accepts connections, [`request`] is the life of one request, `dispatch` its way to endpoints, `assignment` which one it goes to, [`attempt`] one
 //!   try at an endpoint over a connection of [`pool`], [`relay`] a streamed answer, [`header_policy`] which headers go through.
 //! * [`keys`] says which requests may go on by their caller's key, [`limits`] whether their workspace's limit allows it, and
 //!   [`query`] is how VMs ask each other.
@@ -23,6 +23,7 @@
 //! The design and what was weighed are in `docs/design/system.md`.
 
 pub mod answer;
+mod assignment;
 pub mod attempt;
 pub mod caller;
 pub mod clock;
@@ -48,7 +49,6 @@
 mod order_task;
 pub mod outbox;
 pub mod peer_state;
-mod place;
 pub mod pool;
 pub mod quarantine_sync;
 pub mod query;
--- a/crates/limehollow-node/src/query.rs
+++ b/crates/limehollow-node/src/query.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::edge::Protocol;
 use crate::site::Site;
-use crate::{keys, limits, place, start};
+use crate::{assignment, keys, limits, start};
 use limehollow_wire::gossip::{Answer, Query, QueryBody, Reply};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -110,7 +110,7 @@
         QueryBody::Configuration => keys::confirmation(site),
         QueryBody::Start(vm) => start::answer(site, &vm),
         QueryBody::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
-        QueryBody::Assignment { job, tried } => place::answer(site, &job, &tried),
+        QueryBody::Assignment { job, tried } => assignment::answer(site, &job, &tried),
         QueryBody::Earnings {
             keeper,
             vms_known,
