--- a/crates/limehollow-node/src/assignment.rs
+++ b/crates/limehollow-node/src/assignment.rs
@@ -45,9 +45,9 @@
     P: Protocol,
 {
     match chooser(site, job) {
-        Chooser::Keeper => return promise(site, catalog, job, tried),
-        Chooser::Other(keeper) => {
-            if let Some(choice) = ask(site, keeper, job, tried).await {
+        Chooser::Coordinator => return promise(site, catalog, job, tried),
+        Chooser::Other(coordinator) => {
+            if let Some(choice) = ask(site, coordinator, job, tried).await {
                 return choice;
             }
         }
@@ -79,7 +79,7 @@
 /// Who says where a request goes.
 enum Chooser {
     /// This VM, for all.
-    Keeper,
+    Coordinator,
     /// The VM that listens there.
     Other(SocketAddr),
     /// This VM, for its own requests only.
@@ -101,7 +101,7 @@
     let now = site.now();
     let known = site.known();
     match known.peers.keepers(now, &m.model).first() {
-        Some(None) => Chooser::Keeper,
+        Some(None) => Chooser::Coordinator,
         Some(Some(a)) if !known.unresponsive.contains(now, QueryKind::Assignment, *a) => {
             Chooser::Other(*a)
         }
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -51,8 +51,8 @@
     if site.known().quotas.take(site.now(), subject, tokens) {
         return TokenOutcome::Granted;
     }
-    for keeper in keepers(site, subject) {
-        let reply = match keeper {
+    for coordinator in keepers(site, subject) {
+        let reply = match coordinator {
             Some(address) => ask_keeper(site, address, subject, tokens).await,
             None => Some(grant(site, subject, tokens)),
         };
@@ -62,9 +62,11 @@
                 return TokenOutcome::OverLimit(Duration::from_millis(u64::from(ms)));
             }
             Some(_other) => {
-                tracing::debug!(?subject, ?keeper, "it doesn't keep the pool");
+                tracing::debug!(?subject, keeper = ?coordinator, "it doesn't keep the pool");
+            }
+            None => {
+                tracing::debug!(?subject, keeper = ?coordinator, "the keeper of a pool is silent")
             }
-            None => tracing::debug!(?subject, ?keeper, "the keeper of a pool is silent"),
         }
     }
     TokenOutcome::Unanswered
@@ -135,7 +137,7 @@
         return if granted {
             Reply::Granted
         } else {
-            Reply::NotKeeper
+            Reply::NotCoordinator
         };
     }
     match known.quotas.grant(now, subject, tokens) {
@@ -151,7 +153,7 @@
 /// Hands over to the keeper of some pools what this VM has earned.
 pub(crate) fn hand_over<P>(
     site: &Site<P>,
-    keeper: &SmolStr,
+    coordinator: &SmolStr,
     vms_known: usize,
     subjects: &[Subject],
 ) -> Reply
@@ -163,7 +165,7 @@
     known.note_vms(now, vms_known);
     let handed = subjects
         .iter()
-        .map(|s| known.quotas.hand_over(now, s, keeper));
+        .map(|s| known.quotas.hand_over(now, s, coordinator));
     Reply::Earnings(handed.collect())
 }
 
@@ -224,7 +226,7 @@
     P: Protocol,
 {
     let body = QueryBody::Earnings {
-        keeper: SmolStr::new(site.me.as_str()),
+        coordinator: SmolStr::new(site.me.as_str()),
         vms_known: u16::try_from(site.known().quotas.vms()).unwrap_or(u16::MAX),
         subjects: subjects.to_vec(),
     };
--- a/crates/limehollow-node/src/query.rs
+++ b/crates/limehollow-node/src/query.rs
@@ -112,10 +112,10 @@
         QueryBody::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
         QueryBody::Assignment { job, tried } => assignment::answer(site, &job, &tried),
         QueryBody::Earnings {
-            keeper,
+            coordinator,
             vms_known,
             subjects,
-        } => limits::hand_over(site, &keeper, usize::from(vms_known), &subjects),
+        } => limits::hand_over(site, &coordinator, usize::from(vms_known), &subjects),
     };
     Answer {
         number: q.number,
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -313,7 +313,7 @@
     /// What the other has earned of these limits.
     Earnings {
         /// The VM that keeps their pools.
-        keeper: SmolStr,
+        coordinator: SmolStr,
         /// How many VMs that one knows of.
         vms_known: u16,
         /// Whose limits.
@@ -360,7 +360,7 @@
     /// The pool has too few; in how many ms it has enough.
     Short(u32),
     /// Another VM keeps the pool, as far as this one knows.
-    NotKeeper,
+    NotCoordinator,
     /// Where the job goes.
     Assignment(Assignment),
     /// What was handed over of each limit, in the order of the question; none where another VM keeps the pool.
