--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One try at an endpoint.
 
 use crate::edge::{AnswerClass, Protocol};
-use crate::hearing;
+use crate::endpoint_signals;
 use crate::keys::{self, Pass};
 use crate::pool::{ConnectError, Connection, Pool};
 use crate::site::Site;
@@ -269,7 +269,7 @@
         .protocol
         .classify_answer(status, headers, id, &to.instance.id);
     if is_from_target(class) {
-        hearing::hear(site, to, asked, site.protocol.signals(status, headers));
+        endpoint_signals::apply(site, to, asked, site.protocol.signals(status, headers));
     }
     match class {
         AnswerClass::Genuine => Ok(Answer {
--- a/crates/limehollow-node/src/hearing.rs
+++ b/crates/limehollow-node/src/endpoint_signals.rs
@@ -16,7 +16,7 @@
 const MOST_ON_THE_WAY: Duration = MESSAGE_LIFE;
 
 /// Takes in what an answer says, to a request that was sent at `asked`.
-pub fn hear<P>(site: &Site<P>, to: &Target, asked: Instant, s: Signals)
+pub fn apply<P>(site: &Site<P>, to: &Target, asked: Instant, s: Signals)
 where
     P: Protocol,
 {
@@ -48,7 +48,7 @@
 }
 
 /// Takes in what another VM says of the limits that endpoints name.
-pub(crate) fn hear_rates<P>(site: &Site<P>, by: &str, rates: &[RateSaid])
+pub(crate) fn apply_rates<P>(site: &Site<P>, by: &str, rates: &[RateSaid])
 where
     P: Protocol,
 {
@@ -68,7 +68,7 @@
 }
 
 /// Takes in which endpoints said to other VMs that they leave.
-pub(crate) fn hear_leaving<P>(site: &Site<P>, by: &str, leaving: &[Instance])
+pub(crate) fn apply_leaving<P>(site: &Site<P>, by: &str, leaving: &[Instance])
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -10,7 +10,7 @@
 //!   try at an endpoint over a connection of [`pool`], [`relay`] a streamed answer, [`header_policy`] which headers go through.
 //! * [`keys`] says which requests may go on by their caller's key, [`limits`] whether their workspace's limit allows it, and
 //!   [`query`] is how VMs ask each other.
-//! * [`hearing`] takes in what endpoints say of what they want to be sent, and [`limit_grant`] is a request's part of an endpoint's limit.
+//! * [`endpoint_signals`] takes in what endpoints say of what they want to be sent, and [`limit_grant`] is a request's part of an endpoint's limit.
 //! * `crash_probe` finds out whether an endpoint has crashed, and [`quarantine_sync`] has all VMs know which requests do that.
 //! * [`start`] is how a VM gets to know the site.
 //! * [`follow`] keeps configuration and list up to date, [`gossip`] what VMs tell each other, [`peer_state`]
@@ -32,11 +32,11 @@
 mod crash_probe;
 mod dispatch;
 pub mod edge;
+pub mod endpoint_signals;
 pub mod follow;
 mod follower;
 pub mod gossip;
 pub mod header_policy;
-pub mod hearing;
 pub mod keys;
 pub mod known;
 pub mod lease;
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -1,7 +1,7 @@
 //! How another VM's message is taken in, and what of it is passed on.
 
 use crate::edge::Protocol;
-use crate::hearing;
+use crate::endpoint_signals;
 use crate::quarantine_sync::Said;
 use crate::sender::{Outgoing, pace_of_sums};
 use crate::site::Site;
@@ -155,8 +155,8 @@
     for r in &w.reports {
         site.report(now, r);
     }
-    hearing::hear_rates(site, &w.from, &w.rates);
-    hearing::hear_leaving(site, &w.from, &w.leaving);
+    endpoint_signals::apply_rates(site, &w.from, &w.rates);
+    endpoint_signals::apply_leaving(site, &w.from, &w.leaving);
     // Since when the store is sound decides on removals among the changes.
     site.note_peer(&w.from, w.positions, w.reading);
     for l in w.list {
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -6,7 +6,7 @@
 use limehollow::instance::Instance;
 use limehollow_node::attempt::{LimitGrant, Target, may_send};
 use limehollow_node::site::Site;
-use limehollow_node::{hearing, limit_grant};
+use limehollow_node::{endpoint_signals, limit_grant};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rig::Plain;
@@ -120,7 +120,7 @@
                 rate,
                 ..Signals::default()
             };
-            hearing::hear(&site, &to, asked, s);
+            endpoint_signals::apply(&site, &to, asked, s);
         });
     }
 
