--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -21,11 +21,11 @@
 
 /// What a failed try shows of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shows {
+pub enum EndpointEvidence {
     /// Nothing that outlasts the try.
     Nothing,
     /// Nobody listens at its address.
-    NobodyListens,
+    NotListening,
     /// The connection ended under the request.
     ConnectionEnded,
     /// Another instance answers at its address.
@@ -33,7 +33,7 @@
     /// It doesn't hold what was asked for.
     NotHeld,
     /// Nothing of the endpoint: the caller's key doesn't count any more.
-    KeyGone,
+    KeyRevoked,
 }
 
 /// How a try failed.
@@ -46,45 +46,45 @@
     /// Whether the request reached the endpoint, which counts as a try.
     pub reached: bool,
     /// What it shows of the endpoint.
-    pub shows: Shows,
+    pub evidence: EndpointEvidence,
     /// What the connection or the answer said.
     pub why: SmolStr,
 }
 
 impl Failed {
-    fn unsent(shows: Shows, why: SmolStr) -> Self {
+    fn unsent(evidence: EndpointEvidence, why: SmolStr) -> Self {
         Self {
             failure: Failure::Connect,
             verdict: Verdict::NotRun,
             reached: false,
-            shows,
+            evidence,
             why,
         }
     }
 
     fn unconnected(e: &ConnectError) -> Self {
-        let shows = match e {
+        let evidence = match e {
             ConnectError::Io { source } if source.kind() == ErrorKind::ConnectionRefused => {
-                Shows::NobodyListens
+                EndpointEvidence::NotListening
             }
             ConnectError::Io { .. } | ConnectError::Silent | ConnectError::Http { .. } => {
-                Shows::Nothing
+                EndpointEvidence::Nothing
             }
         };
-        Self::unsent(shows, format_smolstr!("{e}"))
+        Self::unsent(evidence, format_smolstr!("{e}"))
     }
 
     /// Makes the failure of a try at an endpoint that began to leave, or went, before the request was sent.
     #[must_use]
     pub fn gone() -> Self {
-        Self::unsent(Shows::Nothing, SmolStr::new_static("it leaves"))
+        Self::unsent(EndpointEvidence::Nothing, SmolStr::new_static("it leaves"))
     }
 
     /// Makes the failure of a try at an endpoint that named a limit, or asked for rest, before the request was sent.
     #[must_use]
     pub fn no_room() -> Self {
         Self::unsent(
-            Shows::Nothing,
+            EndpointEvidence::Nothing,
             SmolStr::new_static("it takes no more requests now"),
         )
     }
@@ -92,7 +92,10 @@
     /// Makes the failure of a try before which the caller's key was taken away, or could not be confirmed any more.
     #[must_use]
     pub fn key_gone() -> Self {
-        Self::unsent(Shows::KeyGone, SmolStr::new_static("the key doesn't count"))
+        Self::unsent(
+            EndpointEvidence::KeyRevoked,
+            SmolStr::new_static("the key doesn't count"),
+        )
     }
 
     /// Makes the failure of a try whose request left and whose answer can't be used.
@@ -102,7 +105,7 @@
             failure: Failure::Broken,
             verdict: Verdict::MayHaveRun,
             reached: true,
-            shows: Shows::Nothing,
+            evidence: EndpointEvidence::Nothing,
             why,
         }
     }
@@ -111,17 +114,17 @@
     #[must_use]
     pub fn cut_off(e: &hyper::Error) -> Self {
         Self {
-            shows: Shows::ConnectionEnded,
+            evidence: EndpointEvidence::ConnectionEnded,
             ..Self::broken(format_smolstr!("{e}"))
         }
     }
 
-    fn not_run(why: SmolStr, shows: Shows) -> Self {
+    fn not_run(why: SmolStr, evidence: EndpointEvidence) -> Self {
         Self {
             failure: Failure::Refused,
             verdict: Verdict::NotRun,
             reached: true,
-            shows,
+            evidence,
             why,
         }
     }
@@ -200,7 +203,7 @@
     match c.sender.try_send_request(req).await {
         Ok(response) => check_answer(site, pool, response, c, (to, id, asked)),
         Err(mut e) => Err(match e.take_message() {
-            Some(_) => Failed::unsent(Shows::Nothing, format_smolstr!("{}", e.error())),
+            Some(_) => Failed::unsent(EndpointEvidence::Nothing, format_smolstr!("{}", e.error())),
             None => Failed::cut_off(e.error()),
         }),
     }
@@ -279,17 +282,17 @@
         AnswerClass::NotRun => {
             let why = format_smolstr!("status {}, not run", status.as_u16());
             pool.put_later(connection, Some(response.into_body()));
-            Err(Failed::not_run(why, Shows::Nothing))
+            Err(Failed::not_run(why, EndpointEvidence::Nothing))
         }
         AnswerClass::Misdirected { other_instance } => {
             pool.put_later(connection, Some(response.into_body()));
             let why = SmolStr::new_static("misdirected, not run");
-            let shows = if other_instance {
-                Shows::OtherInstance
+            let evidence = if other_instance {
+                EndpointEvidence::OtherInstance
             } else {
-                Shows::NotHeld
+                EndpointEvidence::NotHeld
             };
-            Err(Failed::not_run(why, shows))
+            Err(Failed::not_run(why, evidence))
         }
         // The bytes on this connection can't be told apart any more: it is closed by the drop.
         AnswerClass::Foreign => Err(Failed::broken(SmolStr::new_static(
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::assignment;
-use crate::attempt::{self, Failed, LimitGrant, Shows, Target};
+use crate::attempt::{self, EndpointEvidence, Failed, LimitGrant, Target};
 use crate::crash_probe;
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
@@ -115,14 +115,14 @@
                 self.unreached += 1;
             }
             if !self.may_go_on(&failed) {
-                let reason = match failed.shows {
-                    Shows::KeyGone => Reason::KeyUnconfirmed,
+                let reason = match failed.evidence {
+                    EndpointEvidence::KeyRevoked => Reason::KeyUnconfirmed,
                     _ if failed.reached => Reason::TurnedAway,
                     _ => Reason::Unreached,
                 };
                 return self.give_up(reason, self.again_after(&failed));
             }
-            if failed.shows == Shows::ConnectionEnded {
+            if failed.evidence == EndpointEvidence::ConnectionEnded {
                 crash_probe::settled(self.site, &chosen.to.instance).await;
             }
         }
@@ -214,7 +214,7 @@
 
     /// Gives when a caller should come back whose request may not be sent once more.
     fn again_after(&self, f: &Failed) -> Duration {
-        if f.shows == Shows::KeyGone {
+        if f.evidence == EndpointEvidence::KeyRevoked {
             return SOON;
         }
         match assignment::look(self.site, self.catalog, &self.job) {
@@ -357,7 +357,7 @@
     }
 
     fn note_failure(&self, running: &mut Running<P>, to: &Target, f: &Failed) {
-        if f.shows == Shows::ConnectionEnded {
+        if f.evidence == EndpointEvidence::ConnectionEnded {
             running.cut_off();
         }
         running.end(Ending::Failed(f.failure), "failed");
@@ -368,21 +368,30 @@
             why = %f.why,
             "try failed"
         );
-        match (f.shows, &self.job.model) {
-            (Shows::OtherInstance, _) => {
+        match (f.evidence, &self.job.model) {
+            (EndpointEvidence::OtherInstance, _) => {
                 self.site.note_gone(&to.instance);
                 tracing::info!(id = %self.meta.id, "another instance has the endpoint's address");
             }
-            (Shows::NotHeld, Some(m)) => self.site.known().roster.unhold(to.key, m),
-            (Shows::NobodyListens, _) => self.site.note_crashed(&to.instance),
-            (Shows::NotHeld | Shows::ConnectionEnded | Shows::KeyGone | Shows::Nothing, _) => {}
+            (EndpointEvidence::NotHeld, Some(m)) => self.site.known().roster.unhold(to.key, m),
+            (EndpointEvidence::NotListening, _) => self.site.note_crashed(&to.instance),
+            (
+                EndpointEvidence::NotHeld
+                | EndpointEvidence::ConnectionEnded
+                | EndpointEvidence::KeyRevoked
+                | EndpointEvidence::Nothing,
+                _,
+            ) => {}
         }
     }
 
     /// Tells whether another endpoint may be tried after a failure.
     fn may_go_on(&self, f: &Failed) -> bool {
         let may_repeat = self.verdict == Verdict::NotRun || self.rule.repeat == Repeat::Allowed;
-        if !may_repeat || f.shows == Shows::KeyGone || self.site.now() >= self.expiry {
+        if !may_repeat
+            || f.evidence == EndpointEvidence::KeyRevoked
+            || self.site.now() >= self.expiry
+        {
             return false;
         }
         if !f.reached {
