--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -38,7 +38,7 @@
 
 /// How a try failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct AttemptFailure {
     /// What happened.
     pub failure: Failure,
     /// Whether the request may have run there.
@@ -51,7 +51,7 @@
     pub why: SmolStr,
 }
 
-impl Failed {
+impl AttemptFailure {
     fn unsent(evidence: EndpointEvidence, why: SmolStr) -> Self {
         Self {
             failure: Failure::Connect,
@@ -170,7 +170,7 @@
 ///
 /// # Errors
 ///
-/// [`Failed`] says whether the request may have run.
+/// [`AttemptFailure`] says whether the request may have run.
 pub async fn send<P>(
     site: &Site<P>,
     pool: &Pool,
@@ -178,7 +178,7 @@
     mut req: Request<Full<Bytes>>,
     id: &str,
     pass: Option<&Pass>,
-) -> Result<Answer, Failed>
+) -> Result<Answer, AttemptFailure>
 where
     P: Protocol,
 {
@@ -190,21 +190,23 @@
             Ok(response) => return check_answer(site, pool, response, c, (to, id, asked)),
             Err(mut e) => match e.take_message() {
                 Some(unsent) => req = unsent,
-                None => return Err(Failed::cut_off(e.error())),
+                None => return Err(AttemptFailure::cut_off(e.error())),
             },
         }
     }
     may_send(site, to, pass)?;
     let opened = pool.open(to.key, to.address).await;
     site.metrics.connections_opened.inc();
-    let mut c = opened.map_err(|e| Failed::unconnected(&e))?;
+    let mut c = opened.map_err(|e| AttemptFailure::unconnected(&e))?;
     may_send(site, to, pass)?;
     let asked = site.now();
     match c.sender.try_send_request(req).await {
         Ok(response) => check_answer(site, pool, response, c, (to, id, asked)),
         Err(mut e) => Err(match e.take_message() {
-            Some(_) => Failed::unsent(EndpointEvidence::Nothing, format_smolstr!("{}", e.error())),
-            None => Failed::cut_off(e.error()),
+            Some(_) => {
+                AttemptFailure::unsent(EndpointEvidence::Nothing, format_smolstr!("{}", e.error()))
+            }
+            None => AttemptFailure::cut_off(e.error()),
         }),
     }
 }
@@ -214,17 +216,17 @@
 ///
 /// # Errors
 ///
-/// [`Failed`], as of a request that was not sent.
-pub fn may_send<P>(site: &Site<P>, to: &Target, pass: Option<&Pass>) -> Result<(), Failed>
+/// [`AttemptFailure`], as of a request that was not sent.
+pub fn may_send<P>(site: &Site<P>, to: &Target, pass: Option<&Pass>) -> Result<(), AttemptFailure>
 where
     P: Protocol,
 {
     if !pass.is_none_or(|p| keys::holds(site, p)) {
-        return Err(Failed::key_gone());
+        return Err(AttemptFailure::key_gone());
     }
     let known = site.known();
     if !known.roster.takes_work(to.key) {
-        return Err(Failed::gone());
+        return Err(AttemptFailure::gone());
     }
     let (now, wishes) = (site.now(), &known.balance.backpressure);
     let has_room = match to.grant {
@@ -236,7 +238,7 @@
     if has_room && !wishes.rests(now, to.key) {
         Ok(())
     } else {
-        Err(Failed::no_room())
+        Err(AttemptFailure::no_room())
     }
 }
 
@@ -262,7 +264,7 @@
     response: Response<Incoming>,
     mut connection: Connection,
     (to, id, asked): (&Target, &str, Instant),
-) -> Result<Answer, Failed>
+) -> Result<Answer, AttemptFailure>
 where
     P: Protocol,
 {
@@ -282,7 +284,7 @@
         AnswerClass::NotRun => {
             let why = format_smolstr!("status {}, not run", status.as_u16());
             pool.put_later(connection, Some(response.into_body()));
-            Err(Failed::not_run(why, EndpointEvidence::Nothing))
+            Err(AttemptFailure::not_run(why, EndpointEvidence::Nothing))
         }
         AnswerClass::Misdirected { other_instance } => {
             pool.put_later(connection, Some(response.into_body()));
@@ -292,13 +294,13 @@
             } else {
                 EndpointEvidence::NotHeld
             };
-            Err(Failed::not_run(why, evidence))
+            Err(AttemptFailure::not_run(why, evidence))
         }
         // The bytes on this connection can't be told apart any more: it is closed by the drop.
-        AnswerClass::Foreign => Err(Failed::broken(SmolStr::new_static(
+        AnswerClass::Foreign => Err(AttemptFailure::broken(SmolStr::new_static(
             "the answer is another request's",
         ))),
-        AnswerClass::Invalid => Err(Failed::broken(format_smolstr!(
+        AnswerClass::Invalid => Err(AttemptFailure::broken(format_smolstr!(
             "status {} without the endpoint's mark",
             status.as_u16()
         ))),
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::assignment;
-use crate::attempt::{self, EndpointEvidence, Failed, LimitGrant, Target};
+use crate::attempt::{self, AttemptFailure, EndpointEvidence, LimitGrant, Target};
 use crate::crash_probe;
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
@@ -213,7 +213,7 @@
     }
 
     /// Gives when a caller should come back whose request may not be sent once more.
-    fn again_after(&self, f: &Failed) -> Duration {
+    fn again_after(&self, f: &AttemptFailure) -> Duration {
         if f.evidence == EndpointEvidence::KeyRevoked {
             return SOON;
         }
@@ -267,17 +267,17 @@
         Ok(Chosen { to, expected_ms })
     }
 
-    async fn attempt(&mut self, c: &Chosen) -> Result<Response<Outgoing<P>>, Failed> {
+    async fn attempt(&mut self, c: &Chosen) -> Result<Response<Outgoing<P>>, AttemptFailure> {
         let now = self.site.now();
         let sent = {
             let mut known = self.site.known();
             let known = &mut *known;
             // Of the requests that were waiting for room, another may show whether the endpoint's rest is over.
             if known.balance.backpressure.opens_in(now, c.to.key).is_some() {
-                return Err(Failed::no_room());
+                return Err(AttemptFailure::no_room());
             }
             let Some(e) = known.roster.get(c.to.key) else {
-                return Err(Failed::gone());
+                return Err(AttemptFailure::gone());
             };
             let to = (c.to.key, e);
             known.balance.start(now, to, &self.job, c.expected_ms)
@@ -318,7 +318,7 @@
             return Ok(self.expired());
         };
         let body = collected.map_err(|e| {
-            let f = Failed::cut_off(&e);
+            let f = AttemptFailure::cut_off(&e);
             self.note_failure(&mut running, &c.to, &f);
             f
         })?;
@@ -326,7 +326,10 @@
         if head.status.is_server_error() {
             running.ran_to_end();
             running.end(Ending::Failed(Failure::ServerError), "the endpoint failed");
-            let f = Failed::broken(smol_str::format_smolstr!("status {}", head.status.as_u16()));
+            let f = AttemptFailure::broken(smol_str::format_smolstr!(
+                "status {}",
+                head.status.as_u16()
+            ));
             let again =
                 self.rule.repeat == Repeat::Allowed && self.reached + 1 < self.rule.max_attempts;
             if again && self.with_budget(RepeatWindow::has) {
@@ -356,7 +359,7 @@
         req
     }
 
-    fn note_failure(&self, running: &mut Running<P>, to: &Target, f: &Failed) {
+    fn note_failure(&self, running: &mut Running<P>, to: &Target, f: &AttemptFailure) {
         if f.evidence == EndpointEvidence::ConnectionEnded {
             running.cut_off();
         }
@@ -386,7 +389,7 @@
     }
 
     /// Tells whether another endpoint may be tried after a failure.
-    fn may_go_on(&self, f: &Failed) -> bool {
+    fn may_go_on(&self, f: &AttemptFailure) -> bool {
         let may_repeat = self.verdict == Verdict::NotRun || self.rule.repeat == Repeat::Allowed;
         if !may_repeat
             || f.evidence == EndpointEvidence::KeyRevoked
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use http::Request;
 use limehollow::retry::Repeat;
-use limehollow_node::attempt::{Failed, LimitGrant, Target, send};
+use limehollow_node::attempt::{AttemptFailure, LimitGrant, Target, send};
 use limehollow_node::site::Site;
 use rig::{Does, Gateway, Plain, Server, answer, request, rule, settings, status};
 use std::sync::atomic::Ordering;
@@ -223,7 +223,7 @@
         grant: LimitGrant::Unlimited,
     };
     let sent = send(&g.site, &g.site.pool, &to, Request::default(), "1", None).await;
-    assert_eq!(sent.expect_err("it isn't sent"), Failed::gone());
+    assert_eq!(sent.expect_err("it isn't sent"), AttemptFailure::gone());
     assert_eq!(s.requests(), 0);
 }
 
