--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::limit_grant::{self, Closed};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
-use crate::relay::{Relay, Running, millis};
+use crate::relay::{Relay, RunningAttempt, millis};
 use crate::site::Site;
 use bytes::Bytes;
 use http::request::Parts;
@@ -285,7 +285,7 @@
         let names = (self.fingerprint, OriginTag::from(self.caller));
         let instance = c.to.instance.clone();
         let (site, id) = (Arc::clone(self.site), self.meta.id.clone());
-        let mut running = Running::new(site, sent, id, names, instance, self.arrived);
+        let mut running = RunningAttempt::new(site, sent, id, names, instance, self.arrived);
         self.log_sent(c);
         let req = self.request(c, now);
         let answer = attempt::send(
@@ -359,7 +359,7 @@
         req
     }
 
-    fn note_failure(&self, running: &mut Running<P>, to: &Target, f: &AttemptFailure) {
+    fn note_failure(&self, running: &mut RunningAttempt<P>, to: &Target, f: &AttemptFailure) {
         if f.evidence == EndpointEvidence::ConnectionEnded {
             running.cut_off();
         }
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -39,9 +39,9 @@
     Expired,
 }
 
-/// The account of one try at an endpoint. What isn't ended by [`Running::end`] was left by the caller.
+/// The account of one try at an endpoint. What isn't ended by [`RunningAttempt::end`] was left by the caller.
 #[derive(Debug)]
-pub struct Running<P>
+pub struct RunningAttempt<P>
 where
     P: Protocol,
 {
@@ -58,7 +58,7 @@
     longest_pause: Duration,
 }
 
-impl<P> Running<P>
+impl<P> RunningAttempt<P>
 where
     P: Protocol,
 {
@@ -158,7 +158,7 @@
     }
 }
 
-impl<P> Drop for Running<P>
+impl<P> Drop for RunningAttempt<P>
 where
     P: Protocol,
 {
@@ -183,7 +183,7 @@
 {
     inner: Incoming,
     connection: Option<Connection>,
-    running: Running<P>,
+    running: RunningAttempt<P>,
     expiry: Pin<Box<dyn Future<Output = ()> + Send>>,
 }
 
@@ -196,7 +196,7 @@
     pub fn new(
         inner: Incoming,
         connection: Connection,
-        running: Running<P>,
+        running: RunningAttempt<P>,
         expiry: Instant,
     ) -> Self {
         let clock = Arc::clone(&running.site.clock);
