--- a/crates/limehollow-node/src/counted.rs
+++ b/crates/limehollow-node/src/counted.rs
@@ -64,7 +64,7 @@
         let outcome = match &res {
             Ok(_) => ANSWERED,
             Err(StoreError::NoAnswer { .. }) => NO_ANSWER,
-            Err(StoreError::TurnedAway { .. }) => TURNED_AWAY,
+            Err(StoreError::Rejected { .. }) => TURNED_AWAY,
             Err(StoreError::Forgotten { .. }) => HISTORY_GONE,
             Err(StoreError::Refused { .. } | StoreError::Malformed { .. }) => FAILED,
         };
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -109,7 +109,7 @@
     },
     /// The store asks for fewer calls, or is away; the call had no effect.
     #[snafu(display("{call}: turned away with status {status}"))]
-    TurnedAway {
+    Rejected {
         /// The call.
         call: &'static str,
         /// The answer's status.
--- a/crates/limehollow-node/tests/rig/fleet_store.rs
+++ b/crates/limehollow-node/tests/rig/fleet_store.rs
@@ -106,7 +106,7 @@
             busy.appends += 1;
             let wait = busy.appends_until.saturating_duration_since(Instant::now());
             if wait > LONGEST_QUEUE {
-                return Err(StoreError::TurnedAway {
+                return Err(StoreError::Rejected {
                     call: "announce",
                     status: 503,
                 });
@@ -166,7 +166,7 @@
         let (treats, silences) = self.treats();
         let res = match treats {
             Treats::Silent => pending().await,
-            Treats::Away => Err(StoreError::TurnedAway {
+            Treats::Away => Err(StoreError::Rejected {
                 call: "changes",
                 status: 503,
             }),
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -660,5 +660,5 @@
 }
 
 fn away(call: &'static str) -> StoreError {
-    StoreError::TurnedAway { call, status: 503 }
+    StoreError::Rejected { call, status: 503 }
 }
