--- a/crates/limehollow-node/src/counted.rs
+++ b/crates/limehollow-node/src/counted.rs
@@ -65,7 +65,7 @@
             Ok(_) => ANSWERED,
             Err(StoreError::NoAnswer { .. }) => NO_ANSWER,
             Err(StoreError::Rejected { .. }) => TURNED_AWAY,
-            Err(StoreError::Forgotten { .. }) => HISTORY_GONE,
+            Err(StoreError::HistoryGone { .. }) => HISTORY_GONE,
             Err(StoreError::Refused { .. } | StoreError::Malformed { .. }) => FAILED,
         };
         let by = ByCall {
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -117,7 +117,7 @@
     },
     /// The position is older than what is kept, or the store has come back from a copy since.
     #[snafu(display("{call}: the history up to there is gone"))]
-    Forgotten {
+    HistoryGone {
         /// The call.
         call: &'static str,
     },
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Forgotten`] if the feed has to be read anew with [`Store::newest`]: the history is gone, or the position is of
+    /// [`StoreError::HistoryGone`] if the feed has to be read anew with [`Store::newest`]: the history is gone, or the position is of
     /// another era.
     fn changes(
         &self,
--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -268,7 +268,7 @@
                 self.next = Some(next);
                 sleep(PAUSE).await;
             }
-            Err(StoreError::Forgotten { .. }) => {
+            Err(StoreError::HistoryGone { .. }) => {
                 tracing::info!(feed = ?self.f.feed, "history is gone; reading anew");
                 self.next = None;
             }
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -204,7 +204,7 @@
         };
         match read {
             Ok(changes) => self.succeed(began, from, changes),
-            Err(StoreError::Forgotten { .. }) => {
+            Err(StoreError::HistoryGone { .. }) => {
                 tracing::info!(feed = ?Feed::Endpoints, "history is gone; reading anew");
                 self.read_anew().await;
             }
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -524,7 +524,7 @@
     fn read_on(&self, feed: Feed, from: LogPosition) -> Result<Changes, StoreError> {
         let era = self.0.lock().expect("sound").era;
         if from.era() != era {
-            return Err(StoreError::Forgotten { call: "changes" });
+            return Err(StoreError::HistoryGone { call: "changes" });
         }
         self.read(feed, usize::try_from(from.offset()).expect("it is small"))
     }
@@ -535,7 +535,7 @@
             return Err(away("changes"));
         }
         if from < kept.first || from > kept.changes.len() {
-            return Err(StoreError::Forgotten { call: "changes" });
+            return Err(StoreError::HistoryGone { call: "changes" });
         }
         let later = kept.changes.iter().skip(from);
         let changes = later.filter(|(f, _)| *f == feed).map(|(_, c)| c.clone());
