--- a/crates/limehollow-node/src/counted.rs
+++ b/crates/limehollow-node/src/counted.rs
@@ -66,7 +66,7 @@
             Err(StoreError::NoAnswer { .. }) => NO_ANSWER,
             Err(StoreError::Rejected { .. }) => TURNED_AWAY,
             Err(StoreError::HistoryGone { .. }) => HISTORY_GONE,
-            Err(StoreError::Refused { .. } | StoreError::Malformed { .. }) => FAILED,
+            Err(StoreError::UnexpectedStatus { .. } | StoreError::Malformed { .. }) => FAILED,
         };
         let by = ByCall {
             call,
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -123,7 +123,7 @@
     },
     /// Any other answer: a call of ours is wrong.
     #[snafu(display("{call}: status {status}: {body}"))]
-    Refused {
+    UnexpectedStatus {
         /// The call.
         call: &'static str,
         /// The answer's status.
