--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -208,7 +208,7 @@
 }
 
 /// The way to other VMs' states.
-pub trait States: Clone + Send + Sync + 'static {
+pub trait PeerStates: Clone + Send + Sync + 'static {
     /// Asks another VM for what it has read of the store.
     ///
     /// # Errors
--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -4,7 +4,7 @@
 //! list of endpoints is read at an even pace (`list`). Of the other feeds a few VMs of each zone wait for changes at the
 //! store; the rest listen to them, so that calls don't grow with each VM's waiting.
 
-use crate::edge::{Changes, Feed, Protocol, States, Store, StoreError};
+use crate::edge::{Changes, Feed, PeerStates, Protocol, Store, StoreError};
 pub use crate::follower::SETTLE;
 use crate::follower::{Follower, PeerState, read_to};
 use crate::list;
@@ -40,7 +40,7 @@
 where
     P: Protocol,
     S: Store,
-    T: States,
+    T: PeerStates,
 {
     if feed == Feed::Endpoints {
         return list::follow(site, store, states).await;
@@ -133,7 +133,7 @@
 where
     P: Protocol,
     S: Store,
-    T: States,
+    T: PeerStates,
 {
     /// Waits until this VM is to call the store: at once, unless it reads for its zone or only listens.
     async fn wait_for_turn(&mut self) {
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -1,6 +1,6 @@
 //! What all followers of the store share: taking changes in, and getting them from another VM.
 
-use crate::edge::{Change, Changes, Feed, Protocol, States, StoreError};
+use crate::edge::{Change, Changes, Feed, PeerStates, Protocol, StoreError};
 use crate::logbook::may_log;
 use crate::site::Site;
 use crate::start::jittered;
@@ -57,7 +57,7 @@
 impl<P, T> Follower<P, T>
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     pub(crate) fn new(site: Arc<Site<P>>, states: T, feed: Feed) -> Self {
         Self {
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -7,7 +7,7 @@
 //! neighbours only listened.
 
 use crate::clock::Clock;
-use crate::edge::{Change, Changes, Feed, NoAnswerSnafu, Protocol, States, Store, StoreError};
+use crate::edge::{Change, Changes, Feed, NoAnswerSnafu, PeerStates, Protocol, Store, StoreError};
 use crate::follower::{Follower, Learnt, read_to};
 use crate::site::Site;
 use crate::start;
@@ -78,7 +78,7 @@
 where
     P: Protocol,
     S: Store,
-    T: States,
+    T: PeerStates,
 {
     let Some(offers) = site.take_list_offers() else {
         tracing::error!("the list has a follower already");
@@ -120,7 +120,7 @@
 where
     P: Protocol,
     S: Store,
-    T: States,
+    T: PeerStates,
 {
     /// Waits until something is to be done.
     async fn work(&mut self) -> Work {
--- a/crates/limehollow-node/src/peer_state.rs
+++ b/crates/limehollow-node/src/peer_state.rs
@@ -3,7 +3,7 @@
 //! The store may turn some VMs away and serve the others. Who hears that another VM has read further,
 //! and can't read the store itself, asks that VM.
 
-use crate::edge::{Protocol, States};
+use crate::edge::{PeerStates, Protocol};
 use crate::site::Site;
 use crate::small_server;
 use crate::start;
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HttpStates;
 
-impl States for HttpStates {
+impl PeerStates for HttpStates {
     async fn fetch(&self, from: SocketAddr) -> Result<State, String> {
         let body = ask_in_time(from, STATE).await?;
         decode_state(&body).map_err(|e| e.to_string())
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -4,7 +4,7 @@
 //! the digest in others' messages that they know other records, and asks one of them for all. What is quarantined is also
 //! kept in the platform's store, for when all VMs are started anew at once.
 
-use crate::edge::{Protocol, States, Store};
+use crate::edge::{PeerStates, Protocol, Store};
 use crate::sender::pace;
 use crate::site::Site;
 use limehollow::balance::MESSAGE_LIFE;
@@ -37,7 +37,7 @@
 pub async fn follow_peers<P, S>(site: Arc<Site<P>>, states: S)
 where
     P: Protocol,
-    S: States,
+    S: PeerStates,
 {
     loop {
         site.quarantine_differs.notified().await;
@@ -73,7 +73,7 @@
 async fn ask<P, S>(site: &Site<P>, states: &S, vm: &str, said: Said) -> u32
 where
     P: Protocol,
-    S: States,
+    S: PeerStates,
 {
     match states.fetch_crashes(said.address).await {
         Ok(records) => {
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -5,7 +5,7 @@
 //! it into the store with one call. So what the store is asked at a start doesn't grow with the VMs. Where none of the named VMs answers, the
 //! VM reads the store itself, at a moment of its own.
 
-use crate::edge::{Feed, Protocol, States, Store, StoreError, Vm};
+use crate::edge::{Feed, PeerStates, Protocol, Store, StoreError, Vm};
 use crate::follower::{Follower, PeerState};
 use crate::settings::NodeSettings;
 use crate::site::Site;
@@ -46,7 +46,7 @@
 pub async fn start<P, T>(site: &Arc<Site<P>>, states: &T)
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     site.known().is_starting = true;
     get_state(site, states).await;
@@ -62,7 +62,7 @@
 async fn get_state<P, T>(site: &Arc<Site<P>>, states: &T)
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let began = site.now();
     let mut named = named(&site.settings.load());
@@ -129,7 +129,7 @@
 async fn ask<P, T>(site: &Arc<Site<P>>, states: &T, vm: SocketAddr) -> Asked
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let body = QueryBody::Start(introduction(&myself(site)));
     let reply = site.queries.ask(&site.clock, vm, body, ANSWER_WITHIN);
@@ -149,7 +149,7 @@
 pub(crate) async fn catch_up<P, T>(site: &Arc<Site<P>>, states: &T) -> bool
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let ahead = {
         let known = site.known();
@@ -169,7 +169,7 @@
 async fn wait_for_state<P, T>(site: &Site<P>, states: &T, giver: SocketAddr) -> Option<State>
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let (until, beyond) = (site.now() + GIVER_WITHIN, site.positions().endpoints);
     loop {
@@ -188,7 +188,7 @@
 fn take_in<P, T>(site: &Arc<Site<P>>, states: &T, giver: SocketAddr, state: &State)
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     learn(site, &state.members);
     site.known().is_given = true;
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -4,7 +4,7 @@
 use super::fleet_store::at_rate;
 use limehollow::crash_record::CrashRecord;
 use limehollow::log_position::LogPosition;
-use limehollow_node::edge::States;
+use limehollow_node::edge::PeerStates;
 use limehollow_node::gossip::{Outgoing, hear};
 use limehollow_node::query;
 use limehollow_node::site::Site;
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Neighbours(pub(super) Net, pub(super) usize, pub(super) SocketAddr);
 
-impl States for Neighbours {
+impl PeerStates for Neighbours {
     async fn fetch(&self, from: SocketAddr) -> Result<State, String> {
         sleep(WAY).await;
         let (_, site) = self.0.reach(self.1, from).ok_or("cut off")?;
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -26,7 +26,7 @@
 use limehollow_node::caller;
 use limehollow_node::edge::{
     AnswerClass, Change, Changes, Feed, ForwardMeta, HeaderPolicy, Order, OrderReply,
-    ParseRequestError, ParseRequestSnafu, Protocol, RequestMeta, States, Store, StoreError, Vm,
+    ParseRequestError, ParseRequestSnafu, PeerStates, Protocol, RequestMeta, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
 use limehollow_node::site::Site;
@@ -400,7 +400,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct NoStates;
 
-impl States for NoStates {
+impl PeerStates for NoStates {
     async fn fetch(&self, _: SocketAddr) -> Result<State, String> {
         Err("no other VM is there".to_owned())
     }
