--- a/crates/limehollow-node/src/counted.rs
+++ b/crates/limehollow-node/src/counting_store.rs
@@ -37,12 +37,12 @@
 
 /// A store whose calls are counted.
 #[derive(Clone, Debug)]
-pub struct Counted<S> {
+pub struct CountingStore<S> {
     store: S,
     calls: Family<ByCall, Counter>,
 }
 
-impl<S> Counted<S>
+impl<S> CountingStore<S>
 where
     S: Store,
 {
@@ -105,7 +105,7 @@
     }
 }
 
-impl<S> Store for Counted<S>
+impl<S> Store for CountingStore<S>
 where
     S: Store,
 {
--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -16,7 +16,7 @@
 //! * [`follow`] keeps configuration and list up to date, [`gossip`] what VMs tell each other, [`peer_state`]
 //!   what one has read that another can't.
 //! * [`controller`] moves models and adapters while this VM holds the lease; [`outbox`] has what it then tells.
-//! * [`counted`] and [`traffic`] count what the store and the other VMs are asked and told.
+//! * [`counting_store`] and [`traffic`] count what the store and the other VMs are asked and told.
 //! * [`site`] is the state that they share, [`known`] what is known in it, [`clock`] the time, [`operator`] what operators can tell;
 //!   [`run`] puts all together.
 //!
@@ -28,7 +28,7 @@
 pub mod caller;
 pub mod clock;
 pub mod controller;
-pub mod counted;
+pub mod counting_store;
 mod crash_probe;
 mod dispatch;
 pub mod edge;
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -1,6 +1,6 @@
 //! Puts the process together.
 
-use crate::counted::Counted;
+use crate::counting_store::CountingStore;
 use crate::edge::{Feed, Protocol, Store};
 use crate::peer_state::HttpStates;
 use crate::settings::NodeSettings;
@@ -54,7 +54,7 @@
     let states = listen(&peers.to_string()).await?;
     let site = Site::new(settings, protocol);
     let outlet = Arc::new(gossip::Outlet::new(Arc::clone(&site), socket));
-    let store = Counted::new(store, &site.metrics);
+    let store = CountingStore::new(store, &site.metrics);
     let (stop_tx, stop) = watch::channel(false);
     let wanted = Arc::new(Notify::new());
     tokio::spawn(start_following(Arc::clone(&site), store.clone()));
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What VMs say to each other, counted by kind: what grows faster than the site shows here first.
 
-use crate::counted;
+use crate::counting_store;
 use crate::edge::Protocol;
 use crate::metrics::{ByKind, Metrics};
 use crate::site::Site;
@@ -132,7 +132,7 @@
     loop {
         due += SAY_EVERY;
         site.clock.sleep_until(due).await;
-        let (bytes, calls) = (totals(&site.metrics), counted::totals(&site.metrics));
+        let (bytes, calls) = (totals(&site.metrics), counting_store::totals(&site.metrics));
         tracing::info!(?bytes, ?calls, "traffic since the start");
     }
 }
