--- a/crates/limehollow-node/src/counting_store.rs
+++ b/crates/limehollow-node/src/counting_store.rs
@@ -140,12 +140,12 @@
         self.note("newest", "crashes", res)
     }
 
-    async fn keep_crash_record(
+    async fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
     ) -> Result<(), StoreError> {
-        let res = self.store.keep_crash_record(request, record).await;
+        let res = self.store.put_crash_record(request, record).await;
         self.note("append", "crashes", res)
     }
 
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -193,7 +193,7 @@
     /// # Errors
     ///
     /// As [`StoreError`] says.
-    fn keep_crash_record(
+    fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -226,7 +226,7 @@
 {
     let record = site.known().quarantine.record(site.now(), request);
     let record = record.filter(|r| !r.crashes.is_empty());
-    match store.keep_crash_record(request, record.as_ref()).await {
+    match store.put_crash_record(request, record.as_ref()).await {
         Ok(()) => site.known().quarantine.note_saved(request),
         Err(e) => {
             tracing::info!(%request, error = %e, "a quarantined request can't be kept yet");
--- a/crates/limehollow-node/tests/rig/fleet_store.rs
+++ b/crates/limehollow-node/tests/rig/fleet_store.rs
@@ -232,12 +232,12 @@
         self.call(self.store.crash_records()).await
     }
 
-    async fn keep_crash_record(
+    async fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
     ) -> Result<(), StoreError> {
-        self.call(self.store.keep_crash_record(request, record))
+        self.call(self.store.put_crash_record(request, record))
             .await
     }
 }
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -634,7 +634,7 @@
         Ok(kept.crashes.values().cloned().collect())
     }
 
-    async fn keep_crash_record(
+    async fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
