--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -34,7 +34,7 @@
 const READ_ALONE_EVERY: Duration = Duration::from_secs(1);
 
 /// Asks other VMs for what this one doesn't know, for as long as the process lives.
-pub async fn follow_peers<P, S>(site: Arc<Site<P>>, states: S)
+pub async fn sync_with_peers<P, S>(site: Arc<Site<P>>, states: S)
 where
     P: Protocol,
     S: PeerStates,
@@ -152,8 +152,8 @@
 }
 
 /// Reads what the store keeps, unless another VM handed its state over, then keeps there what is quarantined or cleared, for as long
-/// as the process lives. What other VMs know is asked of them ([`follow_peers`]).
-pub async fn keep<P, S>(site: Arc<Site<P>>, store: S)
+/// as the process lives. What other VMs know is asked of them ([`sync_with_peers`]).
+pub async fn persist<P, S>(site: Arc<Site<P>>, store: S)
 where
     P: Protocol,
     S: Store,
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -59,7 +59,10 @@
     let wanted = Arc::new(Notify::new());
     tokio::spawn(start_following(Arc::clone(&site), store.clone()));
     tokio::spawn(start::announce(Arc::clone(&site), store.clone()));
-    tokio::spawn(quarantine_sync::follow_peers(Arc::clone(&site), HttpStates));
+    tokio::spawn(quarantine_sync::sync_with_peers(
+        Arc::clone(&site),
+        HttpStates,
+    ));
     tokio::spawn(gossip::send(
         Arc::clone(&site),
         Arc::clone(&outlet),
@@ -105,7 +108,7 @@
         let (site, store) = (Arc::clone(&site), store.clone());
         tokio::spawn(follow::follow(site, store, HttpStates, feed));
     }
-    quarantine_sync::keep(site, store).await;
+    quarantine_sync::persist(site, store).await;
 }
 
 async fn listen(address: &str) -> Result<TcpListener> {
--- a/crates/limehollow-node/tests/rig/crashing.rs
+++ b/crates/limehollow-node/tests/rig/crashing.rs
@@ -201,8 +201,11 @@
     tokio::spawn(gossip::receive(Arc::clone(&site), outlet, wanted));
     let states = TcpListener::bind((ip, port)).await.expect("it is free too");
     tokio::spawn(peer_state::serve(Arc::clone(&site), states));
-    tokio::spawn(quarantine_sync::follow_peers(Arc::clone(&site), HttpStates));
-    tokio::spawn(quarantine_sync::keep(Arc::clone(&site), store.clone()));
+    tokio::spawn(quarantine_sync::sync_with_peers(
+        Arc::clone(&site),
+        HttpStates,
+    ));
+    tokio::spawn(quarantine_sync::persist(Arc::clone(&site), store.clone()));
     Gateway::with(site).await
 }
 
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -16,7 +16,7 @@
 use limehollow_node::edge::{Change, Feed};
 use limehollow_node::follow::follow;
 use limehollow_node::gossip::Sender;
-use limehollow_node::quarantine_sync::follow_peers;
+use limehollow_node::quarantine_sync::sync_with_peers;
 use limehollow_node::site::Site;
 use limehollow_node::{keys, limits, start};
 use std::sync::Arc;
@@ -283,7 +283,7 @@
         let address = vm.site.settings.load().peer_address();
         let states = Neighbours(self.net.clone(), vm.zone, address);
         vm.tasks
-            .push(tokio::spawn(follow_peers(Arc::clone(&vm.site), states)));
+            .push(tokio::spawn(sync_with_peers(Arc::clone(&vm.site), states)));
         let (net, site, from) = (self.net.clone(), Arc::clone(&vm.site), (vm.zone, address));
         vm.tasks.push(tokio::spawn(async move {
             let mut rx = site.queries.take_outgoing().expect("nobody else takes it");
