--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -4,7 +4,7 @@
 use crate::follower::position;
 use crate::logbook::may_log;
 use crate::outbox::Outbox;
-use crate::quarantine_sync::Said;
+use crate::quarantine_sync::ReportedDigest;
 use crate::reading::Readings;
 use crate::settings::NodeSettings;
 use crate::unresponsive::UnresponsiveVms;
@@ -135,7 +135,7 @@
     /// VMs that keep pools or places and were silent lately.
     pub unresponsive: UnresponsiveVms,
     /// What the other VMs said last of what they know of such requests, and where to ask for it.
-    pub quarantines: BTreeMap<SmolStr, Said>,
+    pub quarantines: BTreeMap<SmolStr, ReportedDigest>,
 }
 
 impl Known {
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -70,7 +70,7 @@
 }
 
 /// Asks another VM for all that it knows. Gives how many records came.
-async fn ask<P, S>(site: &Site<P>, states: &S, vm: &str, said: Said) -> u32
+async fn ask<P, S>(site: &Site<P>, states: &S, vm: &str, said: ReportedDigest) -> u32
 where
     P: Protocol,
     S: PeerStates,
@@ -110,7 +110,7 @@
 
 /// What another VM said last of the records that it has.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct ReportedDigest {
     /// When it was heard.
     pub at: Instant,
     /// Their digest.
@@ -120,7 +120,7 @@
 }
 
 /// Gives a VM that knows other records by what it has said since something changed here: what it said before may be outdated.
-fn differing<P>(site: &Site<P>) -> Option<(SmolStr, Said)>
+fn differing<P>(site: &Site<P>) -> Option<(SmolStr, ReportedDigest)>
 where
     P: Protocol,
 {
@@ -129,7 +129,7 @@
     let heard = known.quarantines.iter();
     let heard = heard.filter(|(_, s)| now.duration_since(s.at) < MESSAGE_LIFE);
     let unchanged = known.quarantine.unchanged_for(now);
-    let is_new = |s: &Said| unchanged.is_none_or(|t| now.duration_since(s.at) < t);
+    let is_new = |s: &ReportedDigest| unchanged.is_none_or(|t| now.duration_since(s.at) < t);
     let others: Vec<_> = heard
         .filter(|(_, s)| is_new(s) && !known.quarantine.contains(s.digest))
         .collect();
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -2,7 +2,7 @@
 
 use crate::edge::Protocol;
 use crate::endpoint_signals;
-use crate::quarantine_sync::Said;
+use crate::quarantine_sync::ReportedDigest;
 use crate::sender::{Outgoing, pace_of_sums};
 use crate::site::Site;
 use limehollow::balance::Taken;
@@ -45,7 +45,7 @@
     if w.scope != Scope::News
         && let Ok(address) = w.address.parse()
     {
-        let said = Said {
+        let said = ReportedDigest {
             at: now,
             digest: w.crashes_digest,
             address,
