--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::edge::{AnswerClass, Protocol};
 use crate::endpoint_signals;
-use crate::keys::{self, Pass};
+use crate::keys::{self, Authorization};
 use crate::pool::{ConnectError, Connection, Pool};
 use crate::site::Site;
 use bytes::Bytes;
@@ -177,14 +177,14 @@
     to: &Target,
     mut req: Request<Full<Bytes>>,
     id: &str,
-    pass: Option<&Pass>,
+    authorization: Option<&Authorization>,
 ) -> Result<Answer, AttemptFailure>
 where
     P: Protocol,
 {
     // A kept connection that turns out to be closed gives the request back unsent.
     while let Some(mut c) = pool.take(to.key) {
-        may_send(site, to, pass)?;
+        may_send(site, to, authorization)?;
         let asked = site.now();
         match c.sender.try_send_request(req).await {
             Ok(response) => return check_answer(site, pool, response, c, (to, id, asked)),
@@ -194,11 +194,11 @@
             },
         }
     }
-    may_send(site, to, pass)?;
+    may_send(site, to, authorization)?;
     let opened = pool.open(to.key, to.address).await;
     site.metrics.connections_opened.inc();
     let mut c = opened.map_err(|e| AttemptFailure::unconnected(&e))?;
-    may_send(site, to, pass)?;
+    may_send(site, to, authorization)?;
     let asked = site.now();
     match c.sender.try_send_request(req).await {
         Ok(response) => check_answer(site, pool, response, c, (to, id, asked)),
@@ -217,11 +217,15 @@
 /// # Errors
 ///
 /// [`AttemptFailure`], as of a request that was not sent.
-pub fn may_send<P>(site: &Site<P>, to: &Target, pass: Option<&Pass>) -> Result<(), AttemptFailure>
+pub fn may_send<P>(
+    site: &Site<P>,
+    to: &Target,
+    authorization: Option<&Authorization>,
+) -> Result<(), AttemptFailure>
 where
     P: Protocol,
 {
-    if !pass.is_none_or(|p| keys::holds(site, p)) {
+    if !authorization.is_none_or(|p| keys::is_valid(site, p)) {
         return Err(AttemptFailure::key_gone());
     }
     let known = site.known();
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::crash_probe;
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
-use crate::keys::Pass;
+use crate::keys::Authorization;
 use crate::limit_grant::{self, Closed};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
@@ -70,7 +70,7 @@
     pub(crate) rule: &'a Rule,
     pub(crate) meta: &'a RequestMeta,
     /// What lets it go on, where it needs a key.
-    pub(crate) pass: Option<&'a Pass>,
+    pub(crate) authorization: Option<&'a Authorization>,
     /// What it has taken of its workspace's limit.
     pub(crate) taken: f64,
     pub(crate) head: &'a Parts,
@@ -294,7 +294,7 @@
             &c.to,
             req,
             &self.meta.id,
-            self.pass,
+            self.authorization,
         );
         let Ok(sent) = self.site.clock.timeout_at(self.expiry, answer).await else {
             running.end(Ending::Failed(Failure::Deadline), "expired");
@@ -351,7 +351,7 @@
             remaining: self.expiry.duration_since(now),
             instance: &c.to.instance.id,
             rank: self.job.rank,
-            workspace: self.pass.map(|p| p.workspace.as_str()),
+            workspace: self.authorization.map(|p| p.workspace.as_str()),
         };
         self.site
             .protocol
@@ -479,7 +479,7 @@
 
     /// Gives back what the request took of its workspace's limit, if that was so recently that the sum over all VMs allows it.
     fn give_back(&self) {
-        if let Some(p) = self.pass.filter(|_| self.waited() <= ON_THE_WAY) {
+        if let Some(p) = self.authorization.filter(|_| self.waited() <= ON_THE_WAY) {
             let mut known = self.site.known();
             known
                 .quotas
@@ -506,7 +506,7 @@
                 request = %self.fingerprint,
                 caller = %self.caller,
                 rule = %self.rule.name,
-                workspace = self.pass.map(|p| p.workspace.as_str()),
+                workspace = self.authorization.map(|p| p.workspace.as_str()),
                 version = self.catalog.version,
                 endpoint = %c.to.instance,
                 model = model.map(|m| m.model.as_str()),
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -27,7 +27,7 @@
 
 /// What lets a request with a key go on.
 #[derive(Clone, Debug)]
-pub struct Pass {
+pub struct Authorization {
     pub(crate) workspace: SmolStr,
     pub(crate) rank: Option<u8>,
     key: KeyDigest,
@@ -43,12 +43,12 @@
 }
 
 /// Lets a request go on by its key; gives no pass where it needs none.
-pub(crate) fn admit<P>(
+pub(crate) fn authorize<P>(
     site: &Site<P>,
     catalog: &Catalog,
     rule: &Rule,
     meta: &RequestMeta,
-) -> Result<Option<Pass>, Denied>
+) -> Result<Option<Authorization>, Denied>
 where
     P: Protocol,
 {
@@ -60,7 +60,7 @@
     }
     let found = meta.key.and_then(|key| {
         let w = catalog.workspaces.find(&key)?;
-        Some(pass(w, key))
+        Some(authorization(w, key))
     });
     match found {
         Some(p) => Ok(Some(p)),
@@ -70,8 +70,8 @@
     }
 }
 
-fn pass(w: &Workspace, key: KeyDigest) -> Pass {
-    Pass {
+fn authorization(w: &Workspace, key: KeyDigest) -> Authorization {
+    Authorization {
         workspace: w.name.clone(),
         rank: w.rank,
         key,
@@ -80,7 +80,7 @@
 
 /// Tells whether a pass still holds: its key counts, and is the same workspace's. Between a request's arrival and its sending
 /// lie a wait for a place and a new connection.
-pub(crate) fn holds<P>(site: &Site<P>, p: &Pass) -> bool
+pub(crate) fn is_valid<P>(site: &Site<P>, p: &Authorization) -> bool
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -86,7 +86,7 @@
             "no rule for this path\n",
         );
     };
-    let pass = match keys::admit(&site, &catalog, rule, &meta) {
+    let authorization = match keys::authorize(&site, &catalog, rule, &meta) {
         Ok(p) => p,
         Err(Denied::Unconfirmed) => return refuse(&site, &meta.id, Reason::KeyUnconfirmed, LATER),
         Err(Denied::Unknown) => return unknown_key(&site, catalog.version, &meta),
@@ -102,7 +102,7 @@
         Ok(b) => b,
         Err(res) => return res,
     };
-    let workspace = pass
+    let workspace = authorization
         .as_ref()
         .and_then(|p| catalog.workspaces.get(&p.workspace));
     let taken = workspace.map_or(0.0, |w| w.cost.of(meta.tokens()));
@@ -130,9 +130,14 @@
         }
     });
     let d = Dispatch {
-        job: job(service, rule, pass.as_ref().and_then(|p| p.rank), &meta)
-            .at_home(site.settings.load().zones_at_home(&homes)),
-        pass: pass.as_ref(),
+        job: job(
+            service,
+            rule,
+            authorization.as_ref().and_then(|p| p.rank),
+            &meta,
+        )
+        .at_home(site.settings.load().zones_at_home(&homes)),
+        authorization: authorization.as_ref(),
         taken,
         site: &site,
         catalog: &catalog,
