--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -35,7 +35,7 @@
 
 /// Why a request may not go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Denied {
+pub(crate) enum KeyError {
     /// It has no key, or one that no workspace has.
     Unknown,
     /// Whether its key counts can't be told now.
@@ -48,7 +48,7 @@
     catalog: &Catalog,
     rule: &Rule,
     meta: &RequestMeta,
-) -> Result<Option<Authorization>, Denied>
+) -> Result<Option<Authorization>, KeyError>
 where
     P: Protocol,
 {
@@ -56,7 +56,7 @@
         return Ok(None);
     }
     if !site.keys_count() {
-        return Err(Denied::Unconfirmed);
+        return Err(KeyError::Unconfirmed);
     }
     let found = meta.key.and_then(|key| {
         let w = catalog.workspaces.find(&key)?;
@@ -65,8 +65,8 @@
     match found {
         Some(p) => Ok(Some(p)),
         // Another VM has read further: the key may be a new one.
-        None if site.known().is_behind(Feed::Configuration) => Err(Denied::Unconfirmed),
-        None => Err(Denied::Unknown),
+        None if site.known().is_behind(Feed::Configuration) => Err(KeyError::Unconfirmed),
+        None => Err(KeyError::Unknown),
     }
 }
 
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::{Dispatch, LATER};
 use crate::edge::{HeaderPolicy, Protocol, RequestMeta};
 use crate::header_policy;
-use crate::keys::{self, Denied};
+use crate::keys::{self, KeyError};
 use crate::limits::{self, TokenOutcome};
 use crate::logbook::may_log;
 use crate::metrics::Metrics;
@@ -88,8 +88,10 @@
     };
     let authorization = match keys::authorize(&site, &catalog, rule, &meta) {
         Ok(p) => p,
-        Err(Denied::Unconfirmed) => return refuse(&site, &meta.id, Reason::KeyUnconfirmed, LATER),
-        Err(Denied::Unknown) => return unknown_key(&site, catalog.version, &meta),
+        Err(KeyError::Unconfirmed) => {
+            return refuse(&site, &meta.id, Reason::KeyUnconfirmed, LATER);
+        }
+        Err(KeyError::Unknown) => return unknown_key(&site, catalog.version, &meta),
     };
     let hash = xxhash_rust::xxh3::xxh3_64(meta.id.as_bytes());
     let Some(service) = rule.service(hash) else {
