--- a/crates/limehollow-node/src/caller.rs
+++ b/crates/limehollow-node/src/caller.rs
@@ -30,9 +30,9 @@
 const DEFAULT_HEAD: usize = 16 << 10;
 /// How long a process that was told to end goes on taking connections: the balancer asks every second
 /// and turns away after two misses. Requests that come later can't be sure to end in the grace.
-const TURN_AWAY: Duration = Duration::from_millis(2800);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2800);
 /// The part of a short grace that this takes at most: what was taken last has to end in the rest.
-const TURN_AWAY_SHARE: f64 = 0.35;
+const ACCEPT_AFTER_STOP_SHARE: f64 = 0.35;
 /// How much before the end of the grace what is left is cut, so that the process ends by itself.
 const CUT_BEFORE: Duration = Duration::from_millis(300);
 
@@ -42,14 +42,14 @@
     P: Protocol + Unpin,
 {
     let grace = Duration::from_millis(site.settings.load().grace_ms);
-    let turn_away = turn_away(grace);
+    let accept_after_stop = accept_after_stop(grace);
     let (closing_tx, closing) = watch::channel(false);
     let mut connections = JoinSet::new();
     let crowd = Arc::new(Crowd::default());
     let stopped = async move {
         // The sender lives as long as the process.
         drop(stop.wait_for(|s| *s).await);
-        sleep(turn_away).await;
+        sleep(accept_after_stop).await;
     };
     tokio::pin!(stopped);
     loop {
@@ -72,7 +72,7 @@
     }
     drop(listener);
     let _nobody = closing_tx.send(true);
-    let end = site.now() + grace.saturating_sub(turn_away + CUT_BEFORE);
+    let end = site.now() + grace.saturating_sub(accept_after_stop + CUT_BEFORE);
     while let Ok(Some(_ended)) = site.clock.timeout_at(end, connections.join_next()).await {}
     tracing::info!(left = connections.len(), "callers served");
 }
@@ -105,8 +105,8 @@
 
 /// Gives how long a process with this grace goes on taking connections after it was told to end.
 #[must_use]
-pub fn turn_away(grace: Duration) -> Duration {
-    TURN_AWAY.min(grace.mul_f64(TURN_AWAY_SHARE))
+pub fn accept_after_stop(grace: Duration) -> Duration {
+    ACCEPT_AFTER_STOP.min(grace.mul_f64(ACCEPT_AFTER_STOP_SHARE))
 }
 
 async fn connection<P>(
--- a/crates/limehollow-node/tests/stopping.rs
+++ b/crates/limehollow-node/tests/stopping.rs
@@ -1,6 +1,6 @@
 //! How a process ends.
 
-use limehollow_node::caller::turn_away;
+use limehollow_node::caller::accept_after_stop;
 use std::time::Duration;
 
 #[test]
@@ -13,7 +13,7 @@
         (60_000, 2_800),
     ];
     for (grace, expected) in cases {
-        let found = turn_away(Duration::from_millis(grace));
+        let found = accept_after_stop(Duration::from_millis(grace));
         assert_eq!(found, Duration::from_millis(expected), "grace {grace}");
     }
 }
