--- a/crates/limehollow-node/src/caller.rs
+++ b/crates/limehollow-node/src/caller.rs
@@ -157,7 +157,7 @@
 }
 
 /// Answers the balancer's question until the process ends.
-pub async fn answer_balancer<P>(site: Arc<Site<P>>, listener: TcpListener)
+pub async fn serve_readiness<P>(site: Arc<Site<P>>, listener: TcpListener)
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -88,7 +88,7 @@
         stop.clone(),
     ));
     tokio::spawn(peer_state::serve(Arc::clone(&site), states));
-    tokio::spawn(caller::answer_balancer(Arc::clone(&site), balancer));
+    tokio::spawn(caller::serve_readiness(Arc::clone(&site), balancer));
     tokio::spawn(serve_operators(Arc::clone(&site)));
     tokio::spawn(reload(Arc::clone(&site), path));
     tokio::spawn(stop_when_told(Arc::clone(&site), stop_tx));
