--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -273,7 +273,7 @@
     P: Protocol,
 {
     let (status, headers) = (response.status(), response.headers());
-    connection.set_keep(keep(headers));
+    connection.set_keep_alive(keep(headers));
     let class = site
         .protocol
         .classify_answer(status, headers, id, &to.instance.id);
@@ -287,11 +287,11 @@
         }),
         AnswerClass::NotRun => {
             let why = format_smolstr!("status {}, not run", status.as_u16());
-            pool.put_later(connection, Some(response.into_body()));
+            pool.put_in_background(connection, Some(response.into_body()));
             Err(AttemptFailure::not_run(why, EndpointEvidence::Nothing))
         }
         AnswerClass::Misdirected { other_instance } => {
-            pool.put_later(connection, Some(response.into_body()));
+            pool.put_in_background(connection, Some(response.into_body()));
             let why = SmolStr::new_static("misdirected, not run");
             let evidence = if other_instance {
                 EndpointEvidence::OtherInstance
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -322,7 +322,7 @@
             self.note_failure(&mut running, &c.to, &f);
             f
         })?;
-        self.site.pool.put_later(answer.connection, None);
+        self.site.pool.put_in_background(answer.connection, None);
         if head.status.is_server_error() {
             running.ran_to_end();
             running.end(Ending::Failed(Failure::ServerError), "the endpoint failed");
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -396,7 +396,9 @@
                 .collect()
                 .await
                 .map_err(|e| SmolStr::from(e.to_string()))?;
-            self.site.control_pool.put_later(answer.connection, None);
+            self.site
+                .control_pool
+                .put_in_background(answer.connection, None);
             if !head.status.is_success() {
                 return Err(SmolStr::from(format!("status {}", head.status.as_u16())));
             }
@@ -441,7 +443,7 @@
                 let body = answer.response.into_body();
                 self.site
                     .control_pool
-                    .put_later(answer.connection, Some(body));
+                    .put_in_background(answer.connection, Some(body));
                 Ok(reply)
             }
             Ok(Err(f)) => Err(f.why),
--- a/crates/limehollow-node/src/pool.rs
+++ b/crates/limehollow-node/src/pool.rs
@@ -83,7 +83,7 @@
 
 impl Connection {
     /// Notes how long the endpoint keeps the connection open, by its answer; zero if it closes it.
-    pub fn set_keep(&mut self, keep: Option<Duration>) {
+    pub fn set_keep_alive(&mut self, keep: Option<Duration>) {
         self.keep = keep.unwrap_or(DEFAULT_KEEP).saturating_sub(KEEP_MARGIN);
     }
 }
@@ -155,7 +155,7 @@
     }
 
     /// Puts a connection back in a task of its own, once the rest of an answer that nobody needs is read.
-    pub fn put_later(&self, c: Connection, rest: Option<Incoming>) {
+    pub fn put_in_background(&self, c: Connection, rest: Option<Incoming>) {
         let pool = self.clone();
         tokio::spawn(async move {
             let limited = rest.map(|b| Limited::new(b, MAX_REST));
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -212,7 +212,7 @@
         self.running.whole();
         if let Some(c) = self.connection.take() {
             Metrics::count(&self.running.site.metrics.requests, "answered");
-            self.running.site.pool.put_later(c, None);
+            self.running.site.pool.put_in_background(c, None);
         }
     }
 
