--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -273,7 +273,7 @@
     P: Protocol,
 {
     let (status, headers) = (response.status(), response.headers());
-    connection.set_keep_alive(keep(headers));
+    connection.set_keep_alive(keep_alive_timeout(headers));
     let class = site
         .protocol
         .classify_answer(status, headers, id, &to.instance.id);
@@ -314,7 +314,7 @@
 /// Reads how long an endpoint keeps a connection: its own word, zero if it closes, none if it says
 /// nothing.
 #[must_use]
-pub fn keep(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let closes = text(header::CONNECTION).is_some_and(|v| {
         v.split(',')
