--- a/crates/limehollow-node/src/counting_store.rs
+++ b/crates/limehollow-node/src/counting_store.rs
@@ -1,7 +1,7 @@
 //! The platform's store with its calls counted, by call and outcome: each is paid for, and all VMs share what the store can do.
 
 use crate::edge::{Changes, Feed, Store, StoreError, Vm};
-use crate::metrics::{ByCall, Metrics};
+use crate::metrics::{Metrics, StoreCallLabels};
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
 use limehollow::group_lease::Dealt;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct CountingStore<S> {
     store: S,
-    calls: Family<ByCall, Counter>,
+    calls: Family<StoreCallLabels, Counter>,
 }
 
 impl<S> CountingStore<S>
@@ -68,7 +68,7 @@
             Err(StoreError::HistoryGone { .. }) => HISTORY_GONE,
             Err(StoreError::UnexpectedStatus { .. } | StoreError::Malformed { .. }) => FAILED,
         };
-        let by = ByCall {
+        let by = StoreCallLabels {
             call,
             about,
             outcome,
@@ -83,7 +83,7 @@
     let mut out = BTreeMap::new();
     for (call, about) in CALLS {
         for outcome in OUTCOMES {
-            let by = ByCall {
+            let by = StoreCallLabels {
                 call,
                 about,
                 outcome,
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -7,7 +7,7 @@
 use crate::edge::{Feed, Protocol};
 use crate::known::Known;
 use crate::logbook;
-use crate::metrics::{By, Metrics};
+use crate::metrics::{EventLabels, Metrics};
 use crate::query;
 pub use crate::receiver::hear;
 use crate::sender::GONE_SAID_FOR;
@@ -206,7 +206,10 @@
     for (feed, what) in feeds {
         if let Some(f) = known.readings.freshness(feed) {
             let age = f.age(now).as_secs_f64();
-            metrics.copy_age.get_or_create(&By { what }).observe(age);
+            metrics
+                .copy_age
+                .get_or_create(&EventLabels { what })
+                .observe(age);
         }
     }
 }
--- a/crates/limehollow-node/src/metrics.rs
+++ b/crates/limehollow-node/src/metrics.rs
@@ -9,14 +9,14 @@
 
 /// The label of an outcome or a reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct By {
+pub struct EventLabels {
     /// What is counted, as a word.
     pub what: &'static str,
 }
 
 /// The label of a call to the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct ByCall {
+pub struct StoreCallLabels {
     /// What is done.
     pub call: &'static str,
     /// With what.
@@ -27,7 +27,7 @@
 
 /// The label of datagrams between VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct ByKind {
+pub struct DatagramLabels {
     /// What they say.
     pub kind: &'static str,
     /// Whether they are sent or received.
@@ -36,7 +36,7 @@
 
 /// The label of a workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct ByWorkspace {
+pub struct WorkspaceLabels {
     /// Its name; what a configuration names is few.
     pub workspace: String,
 }
@@ -48,11 +48,11 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     /// Requests by how they ended.
-    pub requests: Family<By, Counter>,
+    pub requests: Family<EventLabels, Counter>,
     /// Refusals by reason.
-    pub refusals: Family<By, Counter>,
+    pub refusals: Family<EventLabels, Counter>,
     /// Requests refused because their workspace was over its limit.
-    pub over_limit: Family<ByWorkspace, Counter>,
+    pub over_limit: Family<WorkspaceLabels, Counter>,
     /// Requests sent to another endpoint.
     pub repeats: Counter,
     /// Connections opened to endpoints.
@@ -60,23 +60,23 @@
     /// Time from a request's arrival to the first byte of its answer, in seconds.
     pub first_byte: Histogram,
     /// Orders by how they ended.
-    pub orders: Family<By, Counter>,
+    pub orders: Family<EventLabels, Counter>,
     /// Calls to the platform's store, by what is called and how it ended.
-    pub store_calls: Family<ByCall, Counter>,
+    pub store_calls: Family<StoreCallLabels, Counter>,
     /// Datagrams to and from other VMs by kind.
-    pub datagrams: Family<ByKind, Counter>,
+    pub datagrams: Family<DatagramLabels, Counter>,
     /// Their bytes.
-    pub datagram_bytes: Family<ByKind, Counter>,
+    pub datagram_bytes: Family<DatagramLabels, Counter>,
     /// Datagrams that were not sent because they are larger than another VM reads.
     pub datagrams_too_large: Counter,
     /// Datagrams that were not sent, since this VM had said as much as it may, by kind.
-    pub datagrams_held_back: Family<ByKind, Counter>,
+    pub datagrams_held_back: Family<DatagramLabels, Counter>,
     /// Whether this process holds the lease.
     pub holds_lease: Gauge,
     /// Endpoints on the list.
     pub endpoints: Gauge,
     /// How old the copies of the list and of the configuration are, in seconds, looked at once a second.
-    pub copy_age: Family<By, Histogram, fn() -> Histogram>,
+    pub copy_age: Family<EventLabels, Histogram, fn() -> Histogram>,
     /// Records of the store's feeds that could not be read.
     pub unreadable_records: Counter,
     /// Endpoints that were seen to start again under their id.
@@ -142,13 +142,13 @@
 
 impl Metrics {
     /// Counts one of a family.
-    pub fn count(family: &Family<By, Counter>, what: &'static str) {
-        family.get_or_create(&By { what }).inc();
+    pub fn count(family: &Family<EventLabels, Counter>, what: &'static str) {
+        family.get_or_create(&EventLabels { what }).inc();
     }
 
     /// Counts a request that was refused because its workspace was over its limit.
     pub fn count_over_limit(&self, workspace: &str) {
-        let by = ByWorkspace {
+        let by = WorkspaceLabels {
             workspace: workspace.to_owned(),
         };
         self.over_limit.get_or_create(&by).inc();
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -2,7 +2,7 @@
 
 use crate::counting_store;
 use crate::edge::Protocol;
-use crate::metrics::{ByKind, Metrics};
+use crate::metrics::{DatagramLabels, Metrics};
 use crate::site::Site;
 use limehollow::send_budget::Urgency;
 use limehollow_wire::gossip::{Datagram, Message, QueryBody, Scope};
@@ -52,7 +52,7 @@
 
 /// Counts a datagram of so many bytes, which goes to so many VMs.
 pub(crate) fn count(metrics: &Metrics, way: Way, d: &Datagram, bytes: usize, copies: usize) {
-    let by = ByKind {
+    let by = DatagramLabels {
         kind: kind(d),
         way: match way {
             Way::Sent => "sent",
@@ -70,7 +70,7 @@
 /// Counts copies of a datagram that were not sent.
 pub(crate) fn count_held_back(metrics: &Metrics, d: &Datagram, copies: usize) {
     if copies > 0 {
-        let by = ByKind {
+        let by = DatagramLabels {
             kind: kind(d),
             way: "sent",
         };
@@ -142,7 +142,7 @@
     let mut out = BTreeMap::new();
     for way in ["sent", "received"] {
         for kind in KINDS {
-            let by = ByKind { kind, way };
+            let by = DatagramLabels { kind, way };
             let bytes = metrics.datagram_bytes.get(&by).map_or(0, |c| c.get());
             if bytes > 0 {
                 out.insert(format!("{way} {kind}"), bytes);
