--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/assignment.rs
@@ -10,16 +10,16 @@
 
 use crate::edge::Protocol;
 use crate::settings::ChoicePolicy;
-use crate::silence::Duty;
 use crate::site::Site;
 use crate::site_view::SiteView;
+use crate::unresponsive::QueryKind;
 use limehollow::balance::{Bounds, Choice};
 use limehollow::catalog::Catalog;
 use limehollow::id::EndpointKey;
 use limehollow::instance::Instance;
 use limehollow::job::Job;
 use limehollow::roster::Endpoint;
-use limehollow_wire::gossip::{About, Place, Reply};
+use limehollow_wire::gossip::{Assignment, QueryBody, Reply};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -45,9 +45,9 @@
     P: Protocol,
 {
     match chooser(site, job) {
-        Chooser::Keeper => return promise(site, catalog, job, tried),
-        Chooser::Other(keeper) => {
-            if let Some(choice) = ask(site, keeper, job, tried).await {
+        Chooser::Coordinator => return promise(site, catalog, job, tried),
+        Chooser::Other(coordinator) => {
+            if let Some(choice) = ask(site, coordinator, job, tried).await {
                 return choice;
             }
         }
@@ -79,7 +79,7 @@
 /// Who says where a request goes.
 enum Chooser {
     /// This VM, for all.
-    Keeper,
+    Coordinator,
     /// The VM that listens there.
     Other(SocketAddr),
     /// This VM, for its own requests only.
@@ -101,8 +101,10 @@
     let now = site.now();
     let view = site.view();
     match view.peers.coordinators(now, &m.model).first() {
-        Some(None) => Chooser::Keeper,
-        Some(Some(a)) if !view.silences.contains(now, Duty::Places, *a) => Chooser::Other(*a),
+        Some(None) => Chooser::Coordinator,
+        Some(Some(a)) if !view.unresponsive.contains(now, QueryKind::Assignment, *a) => {
+            Chooser::Other(*a)
+        }
         _ => Chooser::Alone,
     }
 }
@@ -112,22 +114,20 @@
     P: Protocol,
 {
     let tried = unusable(site, job, tried)?;
-    let about = About::Place {
+    let body = QueryBody::Assignment {
         job: job.clone(),
         tried,
     };
-    let reply = site
-        .questions
-        .ask(&site.clock, to, about, KEEPER_WITHIN)
-        .await;
-    let Some(Reply::Place(place)) = reply else {
+    let reply = site.queries.ask(&site.clock, to, body, KEEPER_WITHIN).await;
+    let Some(Reply::Assignment(assignment)) = reply else {
         let now = site.now();
         let mut view = site.view();
-        view.silences.note(now, Duty::Places, to, SILENT_FOR);
+        view.unresponsive
+            .note(now, QueryKind::Assignment, to, SILENT_FOR);
         return None;
     };
-    match place {
-        Place::At(instance, expected_ms) => {
+    match assignment {
+        Assignment::Endpoint(instance, expected_ms) => {
             let view = site.view();
             let key = view.roster.find(&instance)?;
             let is_usable = |e: &&Endpoint| view.roster.takes_work(key) && job.may_run_in(&e.zone);
@@ -137,9 +137,9 @@
             let takes = view.balance.takes(now, key, e) && !is_closed;
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
-        Place::Crowded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
+        Assignment::Overloaded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
         // What the keeper doesn't know of, this VM may.
-        Place::Nowhere => None,
+        Assignment::NoEndpoint => None,
     }
 }
 
@@ -178,28 +178,28 @@
     P: Protocol,
 {
     let Some(catalog) = site.catalog.load_full() else {
-        return Reply::Place(Place::Nowhere);
+        return Reply::Assignment(Assignment::NoEndpoint);
     };
     let tried: Vec<EndpointKey> = {
         let view = site.view();
         tried.iter().filter_map(|i| view.roster.find(i)).collect()
     };
     #[expect(clippy::cast_possible_truncation, reason = "rounding is harmless")]
-    let place = match promise(site, &catalog, job, &tried) {
+    let assignment = match promise(site, &catalog, job, &tried) {
         Choice::To(key, expected_ms) => {
             let view = site.view();
             let e = view.roster.get(key);
-            e.map_or(Place::Nowhere, |e| {
-                Place::At(e.instance.clone(), expected_ms as f32)
+            e.map_or(Assignment::NoEndpoint, |e| {
+                Assignment::Endpoint(e.instance.clone(), expected_ms as f32)
             })
         }
-        Choice::Crowded(expected_ms) => Place::Crowded(expected_ms as f32),
+        Choice::Crowded(expected_ms) => Assignment::Overloaded(expected_ms as f32),
         // What rests for this VM may not for the one that asks.
         Choice::Resting(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
-            Place::Nowhere
+            Assignment::NoEndpoint
         }
     };
-    Reply::Place(place)
+    Reply::Assignment(assignment)
 }
 
 fn bounds(catalog: &Catalog, job: &Job) -> Bounds {
--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One try at an endpoint.
 
-use crate::edge::{Judgement, Protocol};
-use crate::hearing;
-use crate::keys::{self, Pass};
+use crate::edge::{AnswerClass, Protocol};
+use crate::endpoint_signals;
+use crate::keys::{self, Authorization};
 use crate::pool::{ConnectError, Connection, Pool};
 use crate::site::Site;
 use bytes::Bytes;
@@ -21,11 +21,11 @@
 
 /// What a failed try shows of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shows {
+pub enum EndpointEvidence {
     /// Nothing that outlasts the try.
     Nothing,
     /// Nobody listens at its address.
-    NobodyListens,
+    NotListening,
     /// The connection ended under the request.
     ConnectionEnded,
     /// Another instance answers at its address.
@@ -33,12 +33,12 @@
     /// It doesn't hold what was asked for.
     NotHeld,
     /// Nothing of the endpoint: the caller's key doesn't count any more.
-    KeyGone,
+    KeyRevoked,
 }
 
 /// How a try failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct AttemptFailure {
     /// What happened.
     pub failure: Failure,
     /// Whether the request may have run there.
@@ -46,45 +46,45 @@
     /// Whether the request reached the endpoint, which counts as a try.
     pub reached: bool,
     /// What it shows of the endpoint.
-    pub shows: Shows,
+    pub evidence: EndpointEvidence,
     /// What the connection or the answer said.
     pub why: SmolStr,
 }
 
-impl Failed {
-    fn unsent(shows: Shows, why: SmolStr) -> Self {
+impl AttemptFailure {
+    fn unsent(evidence: EndpointEvidence, why: SmolStr) -> Self {
         Self {
             failure: Failure::Connect,
             verdict: Verdict::NotRun,
             reached: false,
-            shows,
+            evidence,
             why,
         }
     }
 
     fn unconnected(e: &ConnectError) -> Self {
-        let shows = match e {
+        let evidence = match e {
             ConnectError::Io { source } if source.kind() == ErrorKind::ConnectionRefused => {
-                Shows::NobodyListens
+                EndpointEvidence::NotListening
             }
             ConnectError::Io { .. } | ConnectError::Silent | ConnectError::Http { .. } => {
-                Shows::Nothing
+                EndpointEvidence::Nothing
             }
         };
-        Self::unsent(shows, format_smolstr!("{e}"))
+        Self::unsent(evidence, format_smolstr!("{e}"))
     }
 
     /// Makes the failure of a try at an endpoint that began to leave, or went, before the request was sent.
     #[must_use]
     pub fn gone() -> Self {
-        Self::unsent(Shows::Nothing, SmolStr::new_static("it leaves"))
+        Self::unsent(EndpointEvidence::Nothing, SmolStr::new_static("it leaves"))
     }
 
     /// Makes the failure of a try at an endpoint that named a limit, or asked for rest, before the request was sent.
     #[must_use]
     pub fn no_room() -> Self {
         Self::unsent(
-            Shows::Nothing,
+            EndpointEvidence::Nothing,
             SmolStr::new_static("it takes no more requests now"),
         )
     }
@@ -92,7 +92,10 @@
     /// Makes the failure of a try before which the caller's key was taken away, or could not be confirmed any more.
     #[must_use]
     pub fn key_gone() -> Self {
-        Self::unsent(Shows::KeyGone, SmolStr::new_static("the key doesn't count"))
+        Self::unsent(
+            EndpointEvidence::KeyRevoked,
+            SmolStr::new_static("the key doesn't count"),
+        )
     }
 
     /// Makes the failure of a try whose request left and whose answer can't be used.
@@ -102,7 +105,7 @@
             failure: Failure::Broken,
             verdict: Verdict::MayHaveRun,
             reached: true,
-            shows: Shows::Nothing,
+            evidence: EndpointEvidence::Nothing,
             why,
         }
     }
@@ -111,17 +114,17 @@
     #[must_use]
     pub fn cut_off(e: &hyper::Error) -> Self {
         Self {
-            shows: Shows::ConnectionEnded,
+            evidence: EndpointEvidence::ConnectionEnded,
             ..Self::broken(format_smolstr!("{e}"))
         }
     }
 
-    fn not_run(why: SmolStr, shows: Shows) -> Self {
+    fn not_run(why: SmolStr, evidence: EndpointEvidence) -> Self {
         Self {
             failure: Failure::Refused,
             verdict: Verdict::NotRun,
             reached: true,
-            shows,
+            evidence,
             why,
         }
     }
@@ -129,7 +132,7 @@
 
 /// What a request has of the limit that its endpoint may name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum LimitGrant {
     /// Nothing: it goes only where no limit is named.
     Unlimited,
     /// One request's part, since this moment.
@@ -148,7 +151,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What the request has of its limit.
-    pub room: Room,
+    pub grant: LimitGrant,
 }
 
 /// An answer whose body is still to come, and the connection that it comes on.
@@ -167,41 +170,43 @@
 ///
 /// # Errors
 ///
-/// [`Failed`] says whether the request may have run.
+/// [`AttemptFailure`] says whether the request may have run.
 pub async fn send<P>(
     site: &Site<P>,
     pool: &Pool,
     to: &Target,
     mut req: Request<Full<Bytes>>,
     id: &str,
-    pass: Option<&Pass>,
-) -> Result<Answer, Failed>
+    authorization: Option<&Authorization>,
+) -> Result<Answer, AttemptFailure>
 where
     P: Protocol,
 {
     // A kept connection that turns out to be closed gives the request back unsent.
     while let Some(mut c) = pool.take(to.key) {
-        may_send(site, to, pass)?;
+        may_send(site, to, authorization)?;
         let asked = site.now();
         match c.sender.try_send_request(req).await {
-            Ok(response) => return judge(site, pool, response, c, (to, id, asked)),
+            Ok(response) => return check_answer(site, pool, response, c, (to, id, asked)),
             Err(mut e) => match e.take_message() {
                 Some(unsent) => req = unsent,
-                None => return Err(Failed::cut_off(e.error())),
+                None => return Err(AttemptFailure::cut_off(e.error())),
             },
         }
     }
-    may_send(site, to, pass)?;
+    may_send(site, to, authorization)?;
     let opened = pool.open(to.key, to.address).await;
     site.metrics.connections_opened.inc();
-    let mut c = opened.map_err(|e| Failed::unconnected(&e))?;
-    may_send(site, to, pass)?;
+    let mut c = opened.map_err(|e| AttemptFailure::unconnected(&e))?;
+    may_send(site, to, authorization)?;
     let asked = site.now();
     match c.sender.try_send_request(req).await {
-        Ok(response) => judge(site, pool, response, c, (to, id, asked)),
+        Ok(response) => check_answer(site, pool, response, c, (to, id, asked)),
         Err(mut e) => Err(match e.take_message() {
-            Some(_) => Failed::unsent(Shows::Nothing, format_smolstr!("{}", e.error())),
-            None => Failed::cut_off(e.error()),
+            Some(_) => {
+                AttemptFailure::unsent(EndpointEvidence::Nothing, format_smolstr!("{}", e.error()))
+            }
+            None => AttemptFailure::cut_off(e.error()),
         }),
     }
 }
@@ -211,89 +216,95 @@
 ///
 /// # Errors
 ///
-/// [`Failed`], as of a request that was not sent.
-pub fn may_send<P>(site: &Site<P>, to: &Target, pass: Option<&Pass>) -> Result<(), Failed>
+/// [`AttemptFailure`], as of a request that was not sent.
+pub fn may_send<P>(
+    site: &Site<P>,
+    to: &Target,
+    authorization: Option<&Authorization>,
+) -> Result<(), AttemptFailure>
 where
     P: Protocol,
 {
-    if !pass.is_none_or(|p| keys::holds(site, p)) {
-        return Err(Failed::key_gone());
+    if !authorization.is_none_or(|p| keys::is_valid(site, p)) {
+        return Err(AttemptFailure::key_gone());
     }
     let view = site.view();
     if !view.roster.takes_work(to.key) {
-        return Err(Failed::gone());
+        return Err(AttemptFailure::gone());
     }
     let (now, wishes) = (site.now(), &view.balance.backpressure);
-    let has_room = match to.room {
-        Room::Exempt => true,
-        Room::Unlimited => wishes.rate(to.key).is_none(),
+    let has_room = match to.grant {
+        LimitGrant::Exempt => true,
+        LimitGrant::Unlimited => wishes.rate(to.key).is_none(),
         // The sum over all VMs reckons with so much time between the grant and the sending.
-        Room::Granted(at) => now.saturating_duration_since(at) <= MAX_TRANSFER_TIME,
+        LimitGrant::Granted(at) => now.saturating_duration_since(at) <= MAX_TRANSFER_TIME,
     };
     if has_room && !wishes.is_backing_off(now, to.key) {
         Ok(())
     } else {
-        Err(Failed::no_room())
+        Err(AttemptFailure::no_room())
     }
 }
 
 /// Tells whether an answer is from the endpoint that was asked, so that what it says of itself counts.
-fn is_from_target(j: Judgement) -> bool {
+fn is_from_target(j: AnswerClass) -> bool {
     match j {
-        Judgement::Genuine
-        | Judgement::NotRun
-        | Judgement::Invalid
-        | Judgement::Misdirected {
+        AnswerClass::Genuine
+        | AnswerClass::NotRun
+        | AnswerClass::Invalid
+        | AnswerClass::Misdirected {
             other_instance: false,
         } => true,
-        Judgement::Foreign
-        | Judgement::Misdirected {
+        AnswerClass::Foreign
+        | AnswerClass::Misdirected {
             other_instance: true,
         } => false,
     }
 }
 
-fn judge<P>(
+fn check_answer<P>(
     site: &Site<P>,
     pool: &Pool,
     response: Response<Incoming>,
     mut connection: Connection,
     (to, id, asked): (&Target, &str, Instant),
-) -> Result<Answer, Failed>
+) -> Result<Answer, AttemptFailure>
 where
     P: Protocol,
 {
     let (status, headers) = (response.status(), response.headers());
-    connection.set_keep(keep(headers));
-    let judgement = site.protocol.judge(status, headers, id, &to.instance.id);
-    if is_from_target(judgement) {
-        hearing::hear(site, to, asked, site.protocol.signals(status, headers));
+    connection.set_keep_alive(keep_alive_timeout(headers));
+    let class = site
+        .protocol
+        .classify_answer(status, headers, id, &to.instance.id);
+    if is_from_target(class) {
+        endpoint_signals::apply(site, to, asked, site.protocol.signals(status, headers));
     }
-    match judgement {
-        Judgement::Genuine => Ok(Answer {
+    match class {
+        AnswerClass::Genuine => Ok(Answer {
             response,
             connection,
         }),
-        Judgement::NotRun => {
+        AnswerClass::NotRun => {
             let why = format_smolstr!("status {}, not run", status.as_u16());
-            pool.put_later(connection, Some(response.into_body()));
-            Err(Failed::not_run(why, Shows::Nothing))
+            pool.put_in_background(connection, Some(response.into_body()));
+            Err(AttemptFailure::not_run(why, EndpointEvidence::Nothing))
         }
-        Judgement::Misdirected { other_instance } => {
-            pool.put_later(connection, Some(response.into_body()));
+        AnswerClass::Misdirected { other_instance } => {
+            pool.put_in_background(connection, Some(response.into_body()));
             let why = SmolStr::new_static("misdirected, not run");
-            let shows = if other_instance {
-                Shows::OtherInstance
+            let evidence = if other_instance {
+                EndpointEvidence::OtherInstance
             } else {
-                Shows::NotHeld
+                EndpointEvidence::NotHeld
             };
-            Err(Failed::not_run(why, shows))
+            Err(AttemptFailure::not_run(why, evidence))
         }
         // The bytes on this connection can't be told apart any more: it is closed by the drop.
-        Judgement::Foreign => Err(Failed::broken(SmolStr::new_static(
+        AnswerClass::Foreign => Err(AttemptFailure::broken(SmolStr::new_static(
             "the answer is another request's",
         ))),
-        Judgement::Invalid => Err(Failed::broken(format_smolstr!(
+        AnswerClass::Invalid => Err(AttemptFailure::broken(format_smolstr!(
             "status {} without the endpoint's mark",
             status.as_u16()
         ))),
@@ -303,7 +314,7 @@
 /// Reads how long an endpoint keeps a connection: its own word, zero if it closes, none if it says
 /// nothing.
 #[must_use]
-pub fn keep(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let closes = text(header::CONNECTION).is_some_and(|v| {
         v.split(',')
--- a/crates/limehollow-node/src/counted.rs
+++ b/crates/limehollow-node/src/counting_store.rs
@@ -1,7 +1,7 @@
 //! The platform's store with its calls counted, by call and outcome: each is paid for, and all VMs share what the store can do.
 
 use crate::edge::{Changes, Feed, Store, StoreError, Vm};
-use crate::metrics::{ByCall, Metrics};
+use crate::metrics::{Metrics, StoreCallLabels};
 use limehollow::crash_record::CrashRecord;
 use limehollow::fingerprint::Fingerprint;
 use limehollow::group_lease::GroupAssignment;
@@ -37,12 +37,12 @@
 
 /// A store whose calls are counted.
 #[derive(Clone, Debug)]
-pub struct Counted<S> {
+pub struct CountingStore<S> {
     store: S,
-    calls: Family<ByCall, Counter>,
+    calls: Family<StoreCallLabels, Counter>,
 }
 
-impl<S> Counted<S>
+impl<S> CountingStore<S>
 where
     S: Store,
 {
@@ -64,11 +64,11 @@
         let outcome = match &res {
             Ok(_) => ANSWERED,
             Err(StoreError::NoAnswer { .. }) => NO_ANSWER,
-            Err(StoreError::TurnedAway { .. }) => TURNED_AWAY,
-            Err(StoreError::Forgotten { .. }) => HISTORY_GONE,
-            Err(StoreError::Refused { .. } | StoreError::Malformed { .. }) => FAILED,
+            Err(StoreError::Rejected { .. }) => TURNED_AWAY,
+            Err(StoreError::HistoryGone { .. }) => HISTORY_GONE,
+            Err(StoreError::UnexpectedStatus { .. } | StoreError::Malformed { .. }) => FAILED,
         };
-        let by = ByCall {
+        let by = StoreCallLabels {
             call,
             about,
             outcome,
@@ -83,7 +83,7 @@
     let mut out = BTreeMap::new();
     for (call, about) in CALLS {
         for outcome in OUTCOMES {
-            let by = ByCall {
+            let by = StoreCallLabels {
                 call,
                 about,
                 outcome,
@@ -105,7 +105,7 @@
     }
 }
 
-impl<S> Store for Counted<S>
+impl<S> Store for CountingStore<S>
 where
     S: Store,
 {
@@ -140,12 +140,12 @@
         self.note("newest", "crashes", res)
     }
 
-    async fn keep_crash_record(
+    async fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
     ) -> Result<(), StoreError> {
-        let res = self.store.keep_crash_record(request, record).await;
+        let res = self.store.put_crash_record(request, record).await;
         self.note("append", "crashes", res)
     }
 
--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -1,6 +1,6 @@
 //! Finds out whether an endpoint has crashed, after a connection to it has ended under a request.
 
-use crate::attempt::{Room, Target};
+use crate::attempt::{LimitGrant, Target};
 use crate::edge::Protocol;
 use crate::site::Site;
 use crate::site_view::SiteView;
@@ -47,7 +47,7 @@
         key,
         instance: e.instance.clone(),
         address: e.address,
-        room: Room::Exempt,
+        grant: LimitGrant::Exempt,
     };
     match view.crash_watch.record_cut_off(now, &to.instance, c) {
         Suspicion::New if was_replaced => {
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -1,16 +1,16 @@
 //! One request on its way: to which endpoints it goes, how often, and what its caller is told if none answers.
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
-use crate::attempt::{self, Failed, Room, Shows, Target};
+use crate::assignment;
+use crate::attempt::{self, AttemptFailure, EndpointEvidence, LimitGrant, Target};
 use crate::crash_probe;
-use crate::edge::{Ask, Feed, Protocol, Sending};
-use crate::keys::Pass;
+use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
+use crate::header_policy;
+use crate::keys::Authorization;
+use crate::limit_grant::{self, Closed};
 use crate::logging::may_log;
 use crate::metrics::Metrics;
-use crate::passage;
-use crate::place;
-use crate::relay::{Relay, Running, millis};
-use crate::room::{self, Closed};
+use crate::relay::{Relay, RunningAttempt, millis};
 use crate::site::Site;
 use bytes::Bytes;
 use http::request::Parts;
@@ -68,9 +68,9 @@
     pub(crate) site: &'a Arc<Site<P>>,
     pub(crate) catalog: &'a Catalog,
     pub(crate) rule: &'a Rule,
-    pub(crate) ask: &'a Ask,
+    pub(crate) meta: &'a RequestMeta,
     /// What lets it go on, where it needs a key.
-    pub(crate) pass: Option<&'a Pass>,
+    pub(crate) authorization: Option<&'a Authorization>,
     /// What it has taken of its workspace's limit.
     pub(crate) taken: f64,
     pub(crate) head: &'a Parts,
@@ -115,14 +115,14 @@
                 self.unreached += 1;
             }
             if !self.may_go_on(&failed) {
-                let reason = match failed.shows {
-                    Shows::KeyGone => Reason::KeyUnconfirmed,
+                let reason = match failed.evidence {
+                    EndpointEvidence::KeyRevoked => Reason::KeyUnconfirmed,
                     _ if failed.reached => Reason::TurnedAway,
                     _ => Reason::Unreached,
                 };
                 return self.give_up(reason, self.again_after(&failed));
             }
-            if failed.shows == Shows::ConnectionEnded {
+            if failed.evidence == EndpointEvidence::ConnectionEnded {
                 crash_probe::settled(self.site, &chosen.to.instance).await;
             }
         }
@@ -155,13 +155,13 @@
                 Standing::Quarantined(left) => return Err((Reason::Quarantined, left)),
             };
             let unusable = [&self.tried[..], closed.keys()].concat();
-            let choice = place::choose(self.site, self.catalog, &self.job, &unusable).await;
+            let choice = assignment::choose(self.site, self.catalog, &self.job, &unusable).await;
             let (reason, after) = match choice {
                 Choice::To(key, expected_ms) => {
                     let mut chosen = self.admit(key, expected_ms)?;
-                    match room::take(self.site, &chosen.to).await {
-                        Ok(room) => {
-                            chosen.to.room = room;
+                    match limit_grant::acquire(self.site, &chosen.to).await {
+                        Ok(grant) => {
+                            chosen.to.grant = grant;
                             return Ok(chosen);
                         }
                         Err(wait) => closed.add(key, wait),
@@ -214,11 +214,11 @@
     }
 
     /// Gives when a caller should come back whose request may not be sent once more.
-    fn again_after(&self, f: &Failed) -> Duration {
-        if f.shows == Shows::KeyGone {
+    fn again_after(&self, f: &AttemptFailure) -> Duration {
+        if f.evidence == EndpointEvidence::KeyRevoked {
             return SOON;
         }
-        match place::look(self.site, self.catalog, &self.job) {
+        match assignment::look(self.site, self.catalog, &self.job) {
             Choice::Resting(wait) => spread(wait),
             _ => SOON,
         }
@@ -263,30 +263,30 @@
             key,
             instance: e.instance.clone(),
             address: e.address,
-            room: Room::Unlimited,
+            grant: LimitGrant::Unlimited,
         };
         Ok(Chosen { to, expected_ms })
     }
 
-    async fn attempt(&mut self, c: &Chosen) -> Result<Response<Outgoing<P>>, Failed> {
+    async fn attempt(&mut self, c: &Chosen) -> Result<Response<Outgoing<P>>, AttemptFailure> {
         let now = self.site.now();
         let sent = {
             let mut view = self.site.view();
             let view = &mut *view;
             // Of the requests that were waiting for room, another may show whether the endpoint's rest is over.
             if view.balance.backpressure.opens_in(now, c.to.key).is_some() {
-                return Err(Failed::no_room());
+                return Err(AttemptFailure::no_room());
             }
             let Some(e) = view.roster.get(c.to.key) else {
-                return Err(Failed::gone());
+                return Err(AttemptFailure::gone());
             };
             let to = (c.to.key, e);
             view.balance.start(now, to, &self.job, c.expected_ms)
         };
         let names = (self.fingerprint, OriginTag::from(self.caller));
         let instance = c.to.instance.clone();
-        let (site, id) = (Arc::clone(self.site), self.ask.id.clone());
-        let mut running = Running::new(site, sent, id, names, instance, self.arrived);
+        let (site, id) = (Arc::clone(self.site), self.meta.id.clone());
+        let mut running = RunningAttempt::new(site, sent, id, names, instance, self.arrived);
         self.log_sent(c);
         let req = self.request(c, now);
         let answer = attempt::send(
@@ -294,8 +294,8 @@
             &self.site.pool,
             &c.to,
             req,
-            &self.ask.id,
-            self.pass,
+            &self.meta.id,
+            self.authorization,
         );
         let Ok(sent) = self.site.clock.timeout_at(self.expiry, answer).await else {
             running.end(Ending::Failed(Failure::Deadline), "expired");
@@ -319,15 +319,18 @@
             return Ok(self.expired());
         };
         let body = collected.map_err(|e| {
-            let f = Failed::cut_off(&e);
+            let f = AttemptFailure::cut_off(&e);
             self.note_failure(&mut running, &c.to, &f);
             f
         })?;
-        self.site.pool.put_later(answer.connection, None);
+        self.site.pool.put_in_background(answer.connection, None);
         if head.status.is_server_error() {
             running.ran_to_end();
             running.end(Ending::Failed(Failure::ServerError), "the endpoint failed");
-            let f = Failed::broken(smol_str::format_smolstr!("status {}", head.status.as_u16()));
+            let f = AttemptFailure::broken(smol_str::format_smolstr!(
+                "status {}",
+                head.status.as_u16()
+            ));
             let again =
                 self.rule.repeat == Repeat::Allowed && self.reached + 1 < self.rule.max_attempts;
             if again && self.with_budget(RepeatWindow::has) {
@@ -345,43 +348,56 @@
         *req.method_mut() = self.head.method.clone();
         *req.uri_mut() = self.head.uri.clone();
         *req.headers_mut() = self.head.headers.clone();
-        let s = Sending {
+        let s = ForwardMeta {
             remaining: self.expiry.duration_since(now),
             instance: &c.to.instance.id,
             rank: self.job.rank,
-            workspace: self.pass.map(|p| p.workspace.as_str()),
+            workspace: self.authorization.map(|p| p.workspace.as_str()),
         };
-        self.site.protocol.address(req.headers_mut(), &s);
+        self.site
+            .protocol
+            .set_forward_headers(req.headers_mut(), &s);
         req
     }
 
-    fn note_failure(&self, running: &mut Running<P>, to: &Target, f: &Failed) {
-        if f.shows == Shows::ConnectionEnded {
+    fn note_failure(&self, running: &mut RunningAttempt<P>, to: &Target, f: &AttemptFailure) {
+        if f.evidence == EndpointEvidence::ConnectionEnded {
             running.cut_off();
         }
         running.end(Ending::Failed(f.failure), "failed");
         tracing::info!(
-            id = %self.ask.id,
+            id = %self.meta.id,
             verdict = %f.verdict,
             reached = f.reached,
             why = %f.why,
             "try failed"
         );
-        match (f.shows, &self.job.model) {
-            (Shows::OtherInstance, _) => {
+        match (f.evidence, &self.job.model) {
+            (EndpointEvidence::OtherInstance, _) => {
                 self.site.record_gone(&to.instance);
-                tracing::info!(id = %self.ask.id, "another instance has the endpoint's address");
+                tracing::info!(id = %self.meta.id, "another instance has the endpoint's address");
             }
-            (Shows::NotHeld, Some(m)) => self.site.view().roster.remove_holding(to.key, m),
-            (Shows::NobodyListens, _) => self.site.record_crash(&to.instance),
-            (Shows::NotHeld | Shows::ConnectionEnded | Shows::KeyGone | Shows::Nothing, _) => {}
+            (EndpointEvidence::NotHeld, Some(m)) => {
+                self.site.view().roster.remove_holding(to.key, m)
+            }
+            (EndpointEvidence::NotListening, _) => self.site.record_crash(&to.instance),
+            (
+                EndpointEvidence::NotHeld
+                | EndpointEvidence::ConnectionEnded
+                | EndpointEvidence::KeyRevoked
+                | EndpointEvidence::Nothing,
+                _,
+            ) => {}
         }
     }
 
     /// Tells whether another endpoint may be tried after a failure.
-    fn may_go_on(&self, f: &Failed) -> bool {
+    fn may_go_on(&self, f: &AttemptFailure) -> bool {
         let may_repeat = self.verdict == Verdict::NotRun || self.rule.repeat == Repeat::Allowed;
-        if !may_repeat || f.shows == Shows::KeyGone || self.site.now() >= self.expiry {
+        if !may_repeat
+            || f.evidence == EndpointEvidence::KeyRevoked
+            || self.site.now() >= self.expiry
+        {
             return false;
         }
         if !f.reached {
@@ -413,10 +429,10 @@
 
     fn forward(&self, mut head: http::response::Parts, body: Outgoing<P>) -> Response<Outgoing<P>> {
         let protocol = &self.site.protocol;
-        passage::clean(&mut head.headers, |n| protocol.answer_header(n));
+        header_policy::clean(&mut head.headers, |n| protocol.answer_header(n));
         if may_log() {
             tracing::info!(
-                id = %self.ask.id,
+                id = %self.meta.id,
                 status = head.status.as_u16(),
                 ms = millis(self.waited()),
                 "answer begins"
@@ -426,12 +442,12 @@
     }
 
     fn expired(&self) -> Response<Outgoing<P>> {
-        tracing::info!(id = %self.ask.id, ms = millis(self.waited()), "the request's time has passed");
+        tracing::info!(id = %self.meta.id, ms = millis(self.waited()), "the request's time has passed");
         Metrics::count(&self.site.metrics.requests, "expired");
         plain(
             self.site,
             StatusCode::GATEWAY_TIMEOUT,
-            &self.ask.id,
+            &self.meta.id,
             "time has passed\n",
         )
     }
@@ -443,7 +459,7 @@
             if may_log() {
                 let model = self.job.model.as_ref();
                 tracing::info!(
-                    id = %self.ask.id,
+                    id = %self.meta.id,
                     rule = %self.rule.name,
                     model = model.map(|m| m.model.as_str()),
                     adapter = model.and_then(|m| m.adapter.as_deref()),
@@ -452,21 +468,24 @@
                     "given up"
                 );
             }
-            return refuse(self.site, &self.ask.id, reason, after);
+            return refuse(self.site, &self.meta.id, reason, after);
         }
-        tracing::info!(id = %self.ask.id, reason = reason.as_str(), "no answer; the request may have run");
+        tracing::info!(id = %self.meta.id, reason = reason.as_str(), "no answer; the request may have run");
         Metrics::count(&self.site.metrics.requests, "lost");
         plain(
             self.site,
             StatusCode::BAD_GATEWAY,
-            &self.ask.id,
+            &self.meta.id,
             "the endpoint gave no answer\n",
         )
     }
 
     /// Gives back what the request took of its workspace's limit, if that was so recently that the sum over all VMs allows it.
     fn give_back(&self) {
-        if let Some(p) = self.pass.filter(|_| self.waited() <= MAX_TRANSFER_TIME) {
+        if let Some(p) = self
+            .authorization
+            .filter(|_| self.waited() <= MAX_TRANSFER_TIME)
+        {
             let mut view = self.site.view();
             view.quotas
                 .refund(self.site.now(), &p.workspace, self.taken);
@@ -488,11 +507,11 @@
         if may_log() {
             let model = self.job.model.as_ref();
             tracing::info!(
-                id = %self.ask.id,
+                id = %self.meta.id,
                 request = %self.fingerprint,
                 caller = %self.caller,
                 rule = %self.rule.name,
-                workspace = self.pass.map(|p| p.workspace.as_str()),
+                workspace = self.authorization.map(|p| p.workspace.as_str()),
                 version = self.catalog.version,
                 endpoint = %c.to.instance,
                 model = model.map(|m| m.model.as_str()),
--- a/crates/limehollow-node/src/edge.rs
+++ b/crates/limehollow-node/src/edge.rs
@@ -109,7 +109,7 @@
     },
     /// The store asks for fewer calls, or is away; the call had no effect.
     #[snafu(display("{call}: turned away with status {status}"))]
-    TurnedAway {
+    Rejected {
         /// The call.
         call: &'static str,
         /// The answer's status.
@@ -117,13 +117,13 @@
     },
     /// The position is older than what is kept, or the store has come back from a copy since.
     #[snafu(display("{call}: the history up to there is gone"))]
-    Forgotten {
+    HistoryGone {
         /// The call.
         call: &'static str,
     },
     /// Any other answer: a call of ours is wrong.
     #[snafu(display("{call}: status {status}: {body}"))]
-    Refused {
+    UnexpectedStatus {
         /// The call.
         call: &'static str,
         /// The answer's status.
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Forgotten`] if the feed has to be read anew with [`Store::newest`]: the history is gone, or the position is of
+    /// [`StoreError::HistoryGone`] if the feed has to be read anew with [`Store::newest`]: the history is gone, or the position is of
     /// another era.
     fn changes(
         &self,
@@ -193,7 +193,7 @@
     /// # Errors
     ///
     /// As [`StoreError`] says.
-    fn keep_crash_record(
+    fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
@@ -208,7 +208,7 @@
 }
 
 /// The way to other VMs' states.
-pub trait States: Clone + Send + Sync + 'static {
+pub trait PeerStates: Clone + Send + Sync + 'static {
     /// Asks another VM for what it has read of the store.
     ///
     /// # Errors
@@ -261,13 +261,13 @@
 
 /// What a request says of itself, beside method, path and body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct RequestMeta {
     /// The request's id.
     pub id: SmolStr,
     /// The key with which it is asked. An address names nobody: callers stand behind several, and several behind one.
     pub key: Option<KeyDigest>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The model, where one is asked for.
     pub model: Option<ModelRef>,
     /// Tokens of its prompt.
@@ -278,7 +278,7 @@
     pub parts: Vec<PromptPart>,
 }
 
-impl Ask {
+impl RequestMeta {
     /// Gives the tokens that the request says of itself; none where it says none.
     #[must_use]
     pub fn tokens(&self) -> Option<u64> {
@@ -290,7 +290,7 @@
 /// A request that can't be understood.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: {why}"), visibility(pub))]
-pub struct BadAsk {
+pub struct ParseRequestError {
     /// The header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -299,7 +299,7 @@
 
 /// What the gateway tells an endpoint beside what the caller said.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct ForwardMeta<'a> {
     /// How long an answer is of use.
     pub remaining: Duration,
     /// The only instance that may run it.
@@ -312,20 +312,20 @@
 
 /// What becomes of a header on its way through the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum HeaderPolicy {
     /// It goes on even where `Connection` names it: a request or an answer without it would be another one.
-    Kept,
+    Required,
     /// It goes on, unless it concerns one connection only.
-    Passes,
+    Forward,
     /// It says who asks, for the gateway where workspaces have keys; an endpoint doesn't see it then.
     Credential,
     /// It is the gateway's to say: what the other side sent is taken out.
-    Ours,
+    Reserved,
 }
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum AnswerClass {
     /// It is this request's answer, a success or a failure of the endpoint's own.
     Genuine,
     /// The endpoint did not run the request.
@@ -387,29 +387,34 @@
     /// # Errors
     ///
     /// The header that can't be understood.
-    fn ask(&self, head: &RequestParts) -> Result<Ask, BadAsk>;
+    fn parse_request(&self, head: &RequestParts) -> Result<RequestMeta, ParseRequestError>;
 
     /// Says what becomes of a caller's header on its way to an endpoint.
-    fn request_header(&self, name: &HeaderName) -> Passage;
+    fn request_header(&self, name: &HeaderName) -> HeaderPolicy;
 
     /// Says what becomes of an endpoint's header on its way to the caller.
-    fn answer_header(&self, name: &HeaderName) -> Passage;
+    fn answer_header(&self, name: &HeaderName) -> HeaderPolicy;
 
     /// Puts what an endpoint is told into a request's headers.
-    fn address(&self, headers: &mut HeaderMap, s: &Sending<'_>);
+    fn set_forward_headers(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>);
 
     /// Reads the head of an answer to the request of this id, which was sent to this instance.
-    fn judge(&self, status: StatusCode, headers: &HeaderMap, id: &str, instance: &str)
-    -> Judgement;
+    fn classify_answer(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: &str,
+        instance: &str,
+    ) -> AnswerClass;
 
     /// Reads what an answer says of what its endpoint wants to be sent, whatever became of the request.
     fn signals(&self, status: StatusCode, headers: &HeaderMap) -> Signals;
 
     /// Marks an answer of the gateway's own with the request's id.
-    fn sign(&self, headers: &mut HeaderMap, id: &str);
+    fn set_request_id(&self, headers: &mut HeaderMap, id: &str);
 
     /// Makes the question for an endpoint's report.
-    fn report(&self, instance: &str) -> Request<Full<Bytes>>;
+    fn report_request(&self, instance: &str) -> Request<Full<Bytes>>;
 
     /// Reads an endpoint's report.
     ///
@@ -419,7 +424,7 @@
     fn read_report(&self, body: &[u8]) -> Result<EndpointReport, String>;
 
     /// Makes the request for an order.
-    fn order(&self, o: &Order<'_>) -> Request<Full<Bytes>>;
+    fn order_request(&self, o: &Order<'_>) -> Request<Full<Bytes>>;
 
     /// Reads the answer to an order.
     fn order_reply(&self, status: StatusCode) -> OrderReply;
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -6,8 +6,8 @@
 
 use crate::edge::{Feed, Protocol};
 use crate::logging;
-use crate::metrics::{By, Metrics};
-use crate::question;
+use crate::metrics::{EventLabels, Metrics};
+use crate::query;
 pub use crate::receiver::handle_message;
 use crate::sender::GONE_SAID_FOR;
 pub use crate::sender::{Outgoing, Sender};
@@ -160,13 +160,13 @@
         traffic::count(&site.metrics, Direction::Received, &datagram, n, 1);
         let w = match datagram {
             Datagram::Message(w) => *w,
-            Datagram::Question(q) => {
-                let answer = Datagram::Answer(question::answer(&site, q));
+            Datagram::Query(q) => {
+                let answer = Datagram::Answer(query::answer(&site, q));
                 socket.send(&answer, &[from]).await;
                 continue;
             }
             Datagram::Answer(a) => {
-                site.questions.answered(a);
+                site.queries.answered(a);
                 continue;
             }
         };
@@ -184,11 +184,11 @@
 where
     P: Protocol,
 {
-    let Some(mut rx) = site.questions.take_outgoing() else {
+    let Some(mut rx) = site.queries.take_outgoing() else {
         return;
     };
     while let Some((to, q)) = rx.recv().await {
-        socket.send(&Datagram::Question(q), &[to]).await;
+        socket.send(&Datagram::Query(q), &[to]).await;
     }
 }
 
@@ -206,7 +206,10 @@
     for (feed, what) in feeds {
         if let Some(f) = view.feed_reads.freshness(feed) {
             let age = f.age(now).as_secs_f64();
-            metrics.copy_age.get_or_create(&By { what }).observe(age);
+            metrics
+                .copy_age
+                .get_or_create(&EventLabels { what })
+                .observe(age);
         }
     }
 }
--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -4,11 +4,11 @@
 //! The VM that reads for its zone knows it by its reads; the others ask it, or any other VM, once in a while, and read the
 //! store themselves if none can say.
 
-use crate::edge::{Ask, Feed, Protocol};
+use crate::edge::{Feed, Protocol, RequestMeta};
 use crate::site::Site;
 use limehollow::catalog::{Catalog, Rule};
 use limehollow::workspace::{KeyDigest, Workspace};
-use limehollow_wire::gossip::{About, Reply};
+use limehollow_wire::gossip::{QueryBody, Reply};
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 
 /// What lets a request with a key go on.
 #[derive(Clone, Debug)]
-pub struct Pass {
+pub struct Authorization {
     pub(crate) workspace: SmolStr,
     pub(crate) rank: Option<u8>,
     key: KeyDigest,
@@ -35,7 +35,7 @@
 
 /// Why a request may not go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Denied {
+pub(crate) enum KeyError {
     /// It has no key, or one that no workspace has.
     Unknown,
     /// Whether its key counts can't be told now.
@@ -43,12 +43,12 @@
 }
 
 /// Lets a request go on by its key; gives no pass where it needs none.
-pub(crate) fn admit<P>(
+pub(crate) fn authorize<P>(
     site: &Site<P>,
     catalog: &Catalog,
     rule: &Rule,
-    ask: &Ask,
-) -> Result<Option<Pass>, Denied>
+    meta: &RequestMeta,
+) -> Result<Option<Authorization>, KeyError>
 where
     P: Protocol,
 {
@@ -56,22 +56,22 @@
         return Ok(None);
     }
     if !site.keys_are_valid() {
-        return Err(Denied::Unconfirmed);
+        return Err(KeyError::Unconfirmed);
     }
-    let found = ask.key.and_then(|key| {
+    let found = meta.key.and_then(|key| {
         let w = catalog.workspaces.find(&key)?;
-        Some(pass(w, key))
+        Some(authorization(w, key))
     });
     match found {
         Some(p) => Ok(Some(p)),
         // Another VM has read further: the key may be a new one.
-        None if site.view().is_behind(Feed::Configuration) => Err(Denied::Unconfirmed),
-        None => Err(Denied::Unknown),
+        None if site.view().is_behind(Feed::Configuration) => Err(KeyError::Unconfirmed),
+        None => Err(KeyError::Unknown),
     }
 }
 
-fn pass(w: &Workspace, key: KeyDigest) -> Pass {
-    Pass {
+fn authorization(w: &Workspace, key: KeyDigest) -> Authorization {
+    Authorization {
         workspace: w.name.clone(),
         rank: w.rank,
         key,
@@ -80,7 +80,7 @@
 
 /// Tells whether a pass still holds: its key counts, and is the same workspace's. Between a request's arrival and its sending
 /// lie a wait for a place and a new connection.
-pub(crate) fn holds<P>(site: &Site<P>, p: &Pass) -> bool
+pub(crate) fn is_valid<P>(site: &Site<P>, p: &Authorization) -> bool
 where
     P: Protocol,
 {
@@ -168,8 +168,8 @@
 {
     let asked = site.now();
     let reply = site
-        .questions
-        .ask(&site.clock, to, About::Configuration, ANSWER_WITHIN)
+        .queries
+        .ask(&site.clock, to, QueryBody::Configuration, ANSWER_WITHIN)
         .await;
     let Some(Reply::Configuration {
         position,
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -4,11 +4,11 @@
 //! itself: the leader of the first zone, in an order by the name of the workspace or the id of the endpoint, that is heard.
 
 use crate::edge::Protocol;
-use crate::silence::Duty;
 use crate::site::Site;
+use crate::unresponsive::QueryKind;
 use limehollow::peers::Peers;
 use limehollow::quota::{COLLECT_EVERY, Grant, Subject};
-use limehollow_wire::gossip::{About, Reply};
+use limehollow_wire::gossip::{QueryBody, Reply};
 use smol_str::SmolStr;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 /// A datagram may be lost too, so it is asked once more.
 const KEEPER_WITHIN: Duration = Duration::from_millis(120);
 /// How long it is waited for where an endpoint's limit is asked for: a request has others to go to, or is refused at once.
-const ROOM_WITHIN: Duration = Duration::from_millis(40);
+const ENDPOINT_TOKENS_WITHIN: Duration = Duration::from_millis(40);
 const ASKED_AGAIN: usize = 1;
 /// For how long a keeper that was silent twice isn't asked again: another takes over in a second.
 const SILENT_FOR: Duration = Duration::from_millis(300);
@@ -30,49 +30,53 @@
 /// How many keepers a request asks at most.
 const MOST_ASKED: usize = 2;
 /// When to come back where no keeper answers: another has taken over then.
-pub(crate) const NO_KEEPER: Duration = Duration::from_millis(1000);
+pub(crate) const COORDINATOR_TAKEOVER: Duration = Duration::from_millis(1000);
 
 /// What became of a request's wish for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wish {
+pub(crate) enum TokenOutcome {
     /// It has them, or there is no limit.
     Granted,
     /// The limit is reached; when there is room.
-    Over(Duration),
+    OverLimit(Duration),
     /// No VM that keeps the pool has answered.
     Unanswered,
 }
 
 /// Takes tokens of a limit for a request.
-pub(crate) async fn take<P>(site: &Site<P>, subject: &Subject, tokens: f64) -> Wish
+pub(crate) async fn acquire<P>(site: &Site<P>, subject: &Subject, tokens: f64) -> TokenOutcome
 where
     P: Protocol,
 {
     if site.view().quotas.acquire(site.now(), subject, tokens) {
-        return Wish::Granted;
+        return TokenOutcome::Granted;
     }
-    for keeper in keepers(site, subject) {
-        let reply = match keeper {
+    for coordinator in keepers(site, subject) {
+        let reply = match coordinator {
             Some(address) => ask_keeper(site, address, subject, tokens).await,
             None => Some(grant(site, subject, tokens)),
         };
         match reply {
-            Some(Reply::Granted) => return Wish::Granted,
-            Some(Reply::Short(ms)) => return Wish::Over(Duration::from_millis(u64::from(ms))),
+            Some(Reply::Granted) => return TokenOutcome::Granted,
+            Some(Reply::Short(ms)) => {
+                return TokenOutcome::OverLimit(Duration::from_millis(u64::from(ms)));
+            }
             Some(_other) => {
-                tracing::debug!(?subject, ?keeper, "it doesn't keep the pool");
+                tracing::debug!(?subject, keeper = ?coordinator, "it doesn't keep the pool");
+            }
+            None => {
+                tracing::debug!(?subject, keeper = ?coordinator, "the keeper of a pool is silent")
             }
-            None => tracing::debug!(?subject, ?keeper, "the keeper of a pool is silent"),
         }
     }
-    Wish::Unanswered
+    TokenOutcome::Unanswered
 }
 
 /// Gives what a keeper is asked for, and how long it is waited for.
-fn duty(subject: &Subject) -> (Duty, Duration) {
+fn kind(subject: &Subject) -> (QueryKind, Duration) {
     match subject {
-        Subject::Workspace(_) => (Duty::Tokens, KEEPER_WITHIN),
-        Subject::Endpoint(_) => (Duty::Room, ROOM_WITHIN),
+        Subject::Workspace(_) => (QueryKind::WorkspaceTokens, KEEPER_WITHIN),
+        Subject::Endpoint(_) => (QueryKind::EndpointTokens, ENDPOINT_TOKENS_WITHIN),
     }
 }
 
@@ -83,8 +87,8 @@
 {
     let now = site.now();
     let view = site.view();
-    let (duty, _) = duty(subject);
-    let silent = |a: &SocketAddr| view.silences.contains(now, duty, *a);
+    let (kind, _) = kind(subject);
+    let silent = |a: &SocketAddr| view.unresponsive.contains(now, kind, *a);
     let all = view.peers.coordinators(now, subject.name()).into_iter();
     let speaking = all.filter(|k| !k.as_ref().is_some_and(silent));
     speaking.take(MOST_ASKED).collect()
@@ -101,19 +105,19 @@
 where
     P: Protocol,
 {
-    let (duty, within) = duty(subject);
+    let (kind, within) = kind(subject);
     for _ in 0..=ASKED_AGAIN {
-        let about = About::Tokens {
+        let body = QueryBody::Tokens {
             subject: subject.clone(),
             tokens,
         };
-        let asked = site.questions.ask(&site.clock, to, about, within);
+        let asked = site.queries.ask(&site.clock, to, body, within);
         if let Some(reply) = asked.await {
             return Some(reply);
         }
     }
     let now = site.now();
-    site.view().silences.note(now, duty, to, SILENT_FOR);
+    site.view().unresponsive.note(now, kind, to, SILENT_FOR);
     None
 }
 
@@ -125,7 +129,7 @@
     let mut view = site.view();
     if !view.quotas.is_limited(subject) {
         // The limit is new, and this VM hasn't heard of it, or it has ended and the one that asks hasn't.
-        return Reply::Short(millis(NO_KEEPER));
+        return Reply::Short(millis(COORDINATOR_TAKEOVER));
     }
     let now = site.now();
     if !is_keeper(&view.peers, now, subject) {
@@ -133,7 +137,7 @@
         return if granted {
             Reply::Granted
         } else {
-            Reply::NotKeeper
+            Reply::NotCoordinator
         };
     }
     match view.quotas.grant(now, subject, tokens) {
@@ -149,7 +153,7 @@
 /// Hands over to the keeper of some pools what this VM has earned.
 pub(crate) fn hand_over<P>(
     site: &Site<P>,
-    keeper: &SmolStr,
+    coordinator: &SmolStr,
     vms_known: usize,
     subjects: &[Subject],
 ) -> Reply
@@ -161,12 +165,12 @@
     view.update_vm_count(now, vms_known);
     let handed = subjects
         .iter()
-        .map(|s| view.quotas.transfer(now, s, keeper));
+        .map(|s| view.quotas.transfer(now, s, coordinator));
     Reply::Earnings(handed.collect())
 }
 
 /// Collects what VMs have earned, where this one keeps a pool, for as long as the process lives.
-pub async fn keep_pools<P>(site: Arc<Site<P>>)
+pub async fn collect_earnings<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
 {
@@ -221,14 +225,14 @@
 where
     P: Protocol,
 {
-    let about = About::Earnings {
-        keeper: SmolStr::new(site.own_vm.as_str()),
+    let body = QueryBody::Earnings {
+        coordinator: SmolStr::new(site.own_vm.as_str()),
         vms_known: u16::try_from(site.view().quotas.vms()).unwrap_or(u16::MAX),
         subjects: subjects.to_vec(),
     };
     let reply = site
-        .questions
-        .ask(&site.clock, from, about, COLLECT_WITHIN)
+        .queries
+        .ask(&site.clock, from, body, COLLECT_WITHIN)
         .await;
     let Some(Reply::Earnings(handed)) = reply else {
         return;
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -386,7 +386,7 @@
     }
 
     async fn report(&self) -> Option<EndpointReport> {
-        let req = self.site.protocol.report(&self.to.instance.id);
+        let req = self.site.protocol.report_request(&self.to.instance.id);
         let call = async {
             let sent =
                 attempt::send(&self.site, &self.site.control_pool, &self.to, req, "", None).await;
@@ -396,7 +396,9 @@
                 .collect()
                 .await
                 .map_err(|e| SmolStr::from(e.to_string()))?;
-            self.site.control_pool.put_later(answer.connection, None);
+            self.site
+                .control_pool
+                .put_in_background(answer.connection, None);
             if !head.status.is_success() {
                 return Err(SmolStr::from(format!("status {}", head.status.as_u16())));
             }
@@ -433,7 +435,7 @@
             holder: &settings.name,
             fence,
         };
-        let req = self.site.protocol.order(&o);
+        let req = self.site.protocol.order_request(&o);
         let sent = attempt::send(&self.site, &self.site.control_pool, &self.to, req, "", None);
         let reply = match timeout(CALL_TIMEOUT, sent).await {
             Ok(Ok(answer)) => {
@@ -441,7 +443,7 @@
                 let body = answer.response.into_body();
                 self.site
                     .control_pool
-                    .put_later(answer.connection, Some(body));
+                    .put_in_background(answer.connection, Some(body));
                 Ok(reply)
             }
             Ok(Err(f)) => Err(f.why),
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -4,7 +4,7 @@
 //! the digest in others' messages that they know other records, and asks one of them for all. What is quarantined is also
 //! kept in the platform's store, for when all VMs are started anew at once.
 
-use crate::edge::{Protocol, States, Store};
+use crate::edge::{PeerStates, Protocol, Store};
 use crate::sender::pace;
 use crate::site::Site;
 use limehollow::balance::MESSAGE_LIFE;
@@ -34,10 +34,10 @@
 const READ_ALONE_EVERY: Duration = Duration::from_secs(1);
 
 /// Asks other VMs for what this one doesn't know, for as long as the process lives.
-pub async fn follow_peers<P, S>(site: Arc<Site<P>>, states: S)
+pub async fn sync_with_peers<P, S>(site: Arc<Site<P>>, states: S)
 where
     P: Protocol,
-    S: States,
+    S: PeerStates,
 {
     loop {
         site.quarantine_differs.notified().await;
@@ -70,10 +70,10 @@
 }
 
 /// Asks another VM for all that it knows. Gives how many records came.
-async fn ask<P, S>(site: &Site<P>, states: &S, vm: &str, said: Said) -> u32
+async fn ask<P, S>(site: &Site<P>, states: &S, vm: &str, said: ReportedDigest) -> u32
 where
     P: Protocol,
-    S: States,
+    S: PeerStates,
 {
     match states.fetch_crashes(said.address).await {
         Ok(records) => {
@@ -110,7 +110,7 @@
 
 /// What another VM said last of the records that it has.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct ReportedDigest {
     /// When it was heard.
     pub at: Instant,
     /// Their digest.
@@ -120,7 +120,7 @@
 }
 
 /// Gives a VM that knows other records by what it has said since something changed here: what it said before may be outdated.
-fn differing<P>(site: &Site<P>) -> Option<(SmolStr, Said)>
+fn differing<P>(site: &Site<P>) -> Option<(SmolStr, ReportedDigest)>
 where
     P: Protocol,
 {
@@ -129,7 +129,7 @@
     let heard = view.quarantines.iter();
     let heard = heard.filter(|(_, s)| now.duration_since(s.at) < MESSAGE_LIFE);
     let unchanged = view.quarantine.unchanged_for(now);
-    let is_new = |s: &Said| unchanged.is_none_or(|t| now.duration_since(s.at) < t);
+    let is_new = |s: &ReportedDigest| unchanged.is_none_or(|t| now.duration_since(s.at) < t);
     let others: Vec<_> = heard
         .filter(|(_, s)| is_new(s) && !view.quarantine.contains(s.digest))
         .collect();
@@ -152,8 +152,8 @@
 }
 
 /// Reads what the store keeps, unless another VM handed its state over, then keeps there what is quarantined or cleared, for as long
-/// as the process lives. What other VMs know is asked of them ([`follow_peers`]).
-pub async fn keep<P, S>(site: Arc<Site<P>>, store: S)
+/// as the process lives. What other VMs know is asked of them ([`sync_with_peers`]).
+pub async fn persist<P, S>(site: Arc<Site<P>>, store: S)
 where
     P: Protocol,
     S: Store,
@@ -226,7 +226,7 @@
 {
     let record = site.view().quarantine.record(site.now(), request);
     let record = record.filter(|r| !r.crashes.is_empty());
-    match store.keep_crash_record(request, record.as_ref()).await {
+    match store.put_crash_record(request, record.as_ref()).await {
         Ok(()) => site.view().quarantine.mark_saved(request),
         Err(e) => {
             tracing::info!(%request, error = %e, "a quarantined request can't be kept yet");
--- a/crates/limehollow-node/src/question.rs
+++ b/crates/limehollow-node/src/query.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::edge::Protocol;
 use crate::site::Site;
-use crate::{keys, limits, place, start};
-use limehollow_wire::gossip::{About, Answer, Question, Reply};
+use crate::{assignment, keys, limits, start};
+use limehollow_wire::gossip::{Answer, Query, QueryBody, Reply};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -19,11 +19,11 @@
 const MOST_WAITING: usize = 2048;
 
 /// A question and to whom it goes.
-pub type Asked = (SocketAddr, Question);
+pub type Asked = (SocketAddr, Query);
 
 /// The questions of this VM that wait for answers.
 #[derive(Debug)]
-pub struct Questions {
+pub struct PendingQueries {
     tx: UnboundedSender<Asked>,
     rx: Mutex<Option<UnboundedReceiver<Asked>>>,
     waiting: Mutex<Waiting>,
@@ -36,7 +36,7 @@
     answers: HashMap<u64, oneshot::Sender<Reply>>,
 }
 
-impl Default for Questions {
+impl Default for PendingQueries {
     fn default() -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
         Self {
@@ -50,18 +50,18 @@
     }
 }
 
-impl Questions {
+impl PendingQueries {
     /// Asks another VM and waits for its answer for so long; gives none if there was none.
     pub(crate) async fn ask(
         &self,
         clock: &Clock,
         to: SocketAddr,
-        about: About,
+        body: QueryBody,
         within: Duration,
     ) -> Option<Reply> {
         let (number, answer) = self.expect()?;
         // Without a task that sends, as in some tests, nobody answers.
-        let _nobody = self.tx.send((to, Question { number, about }));
+        let _nobody = self.tx.send((to, Query { number, body }));
         let until = clock.now() + within;
         let answer = clock.timeout_at(until, answer).await;
         self.waiting().answers.remove(&number);
@@ -102,20 +102,20 @@
 }
 
 /// Answers another VM's question.
-pub fn answer<P>(site: &Site<P>, q: Question) -> Answer
+pub fn answer<P>(site: &Site<P>, q: Query) -> Answer
 where
     P: Protocol,
 {
-    let reply = match q.about {
-        About::Configuration => keys::confirmation(site),
-        About::Start(vm) => start::assign_parent(site, &vm),
-        About::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
-        About::Place { job, tried } => place::answer(site, &job, &tried),
-        About::Earnings {
-            keeper,
+    let reply = match q.body {
+        QueryBody::Configuration => keys::confirmation(site),
+        QueryBody::Start(vm) => start::assign_parent(site, &vm),
+        QueryBody::Tokens { subject, tokens } => limits::grant(site, &subject, tokens),
+        QueryBody::Assignment { job, tried } => assignment::answer(site, &job, &tried),
+        QueryBody::Earnings {
+            coordinator,
             vms_known,
             subjects,
-        } => limits::hand_over(site, &keeper, usize::from(vms_known), &subjects),
+        } => limits::hand_over(site, &coordinator, usize::from(vms_known), &subjects),
     };
     Answer {
         number: q.number,
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -1,8 +1,8 @@
 //! How another VM's message is taken in, and what of it is passed on.
 
 use crate::edge::Protocol;
-use crate::hearing;
-use crate::quarantine_sync::Said;
+use crate::endpoint_signals;
+use crate::quarantine_sync::ReportedDigest;
 use crate::sender::{Outgoing, pace_of_sums};
 use crate::site::Site;
 use limehollow::balance::Taken;
@@ -50,7 +50,7 @@
     if w.scope != Scope::News
         && let Ok(address) = w.address.parse()
     {
-        let said = Said {
+        let said = ReportedDigest {
             at: now,
             digest: w.crashes_digest,
             address,
@@ -160,8 +160,8 @@
     for r in &w.reports {
         site.report(now, r);
     }
-    hearing::hear_rates(site, &w.from, &w.rates);
-    hearing::hear_leaving(site, &w.from, &w.leaving);
+    endpoint_signals::apply_rates(site, &w.from, &w.rates);
+    endpoint_signals::apply_leaving(site, &w.from, &w.leaving);
     // Since when the store is sound decides on removals among the changes.
     site.observe_peer(&w.from, w.positions, w.reading);
     for l in w.list {
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -2,12 +2,12 @@
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::dispatch::{Dispatch, LATER};
-use crate::edge::{Ask, Passage, Protocol};
-use crate::keys::{self, Denied};
-use crate::limits::{self, Wish};
+use crate::edge::{HeaderPolicy, Protocol, RequestMeta};
+use crate::header_policy;
+use crate::keys::{self, KeyError};
+use crate::limits::{self, TokenOutcome};
 use crate::logging::may_log;
 use crate::metrics::Metrics;
-use crate::passage;
 use crate::relay::millis;
 use crate::site::Site;
 use bytes::Bytes;
@@ -64,8 +64,8 @@
 where
     P: Protocol,
 {
-    let ask = match site.protocol.ask(&head) {
-        Ok(ask) => ask,
+    let meta = match site.protocol.parse_request(&head) {
+        Ok(meta) => meta,
         Err(bad) => {
             tracing::warn!(error = %bad, "request refused: not understood");
             Metrics::count(&site.metrics.requests, "bad request");
@@ -73,66 +73,78 @@
         }
     };
     let Some(catalog) = site.catalog.load_full() else {
-        return refuse(&site, &ask.id, Reason::NoConfiguration, LATER);
+        return refuse(&site, &meta.id, Reason::NoConfiguration, LATER);
     };
     let host = host(&head);
     let Some(rule) = catalog.rule(host, head.uri.path()) else {
-        tracing::info!(id = %ask.id, version = catalog.version, host, path = head.uri.path(), "no rule");
+        tracing::info!(id = %meta.id, version = catalog.version, host, path = head.uri.path(), "no rule");
         Metrics::count(&site.metrics.requests, "no rule");
         return plain(
             &site,
             StatusCode::NOT_FOUND,
-            &ask.id,
+            &meta.id,
             "no rule for this path\n",
         );
     };
-    let pass = match keys::admit(&site, &catalog, rule, &ask) {
+    let authorization = match keys::authorize(&site, &catalog, rule, &meta) {
         Ok(p) => p,
-        Err(Denied::Unconfirmed) => return refuse(&site, &ask.id, Reason::KeyUnconfirmed, LATER),
-        Err(Denied::Unknown) => return unknown_key(&site, catalog.version, &ask),
+        Err(KeyError::Unconfirmed) => {
+            return refuse(&site, &meta.id, Reason::KeyUnconfirmed, LATER);
+        }
+        Err(KeyError::Unknown) => return unknown_key(&site, catalog.version, &meta),
     };
-    let hash = xxhash_rust::xxh3::xxh3_64(ask.id.as_bytes());
+    let hash = xxhash_rust::xxh3::xxh3_64(meta.id.as_bytes());
     let Some(service) = rule.service(hash) else {
-        return refuse(&site, &ask.id, Reason::NoEndpoint, LATER);
+        return refuse(&site, &meta.id, Reason::NoEndpoint, LATER);
     };
-    let time = ask.patience.map_or(rule.timeout, |p| p.min(rule.timeout));
+    let time = meta.timeout.map_or(rule.timeout, |p| p.min(rule.timeout));
     let expiry = arrived + time;
     let limit = catalog.limits.body_bytes;
-    let body = match read_body(&site, &ask.id, body, limit, expiry).await {
+    let body = match read_body(&site, &meta.id, body, limit, expiry).await {
         Ok(b) => b,
         Err(res) => return res,
     };
-    let workspace = pass
+    let workspace = authorization
         .as_ref()
         .and_then(|p| catalog.workspaces.get(&p.workspace));
-    let taken = workspace.map_or(0.0, |w| w.cost.of(ask.tokens()));
+    let taken = workspace.map_or(0.0, |w| w.cost.of(meta.tokens()));
     if let Some(w) = workspace {
-        match limits::take(&site, &Subject::from(&w.name), taken).await {
-            Wish::Granted => {}
-            Wish::Over(after) => return over_limit(&site, &ask.id, &w.name, after),
-            Wish::Unanswered => {
-                return refuse(&site, &ask.id, Reason::LimitUnknown, limits::NO_KEEPER);
+        match limits::acquire(&site, &Subject::from(&w.name), taken).await {
+            TokenOutcome::Granted => {}
+            TokenOutcome::OverLimit(after) => return over_limit(&site, &meta.id, &w.name, after),
+            TokenOutcome::Unanswered => {
+                return refuse(
+                    &site,
+                    &meta.id,
+                    Reason::LimitUnknown,
+                    limits::COORDINATOR_TAKEOVER,
+                );
             }
         }
     }
-    let fingerprint = fingerprint(workspace, &ask, &head, &body);
+    let fingerprint = fingerprint(workspace, &meta, &head, &body);
     let hides_keys = !catalog.workspaces.is_empty();
     let homes = [&rule.homes[..], workspace.map_or(&[], |w| &w.homes[..])];
-    passage::clean(&mut head.headers, |n| {
+    header_policy::clean(&mut head.headers, |n| {
         match site.protocol.request_header(n) {
-            Passage::Credential if hides_keys => Passage::Ours,
+            HeaderPolicy::Credential if hides_keys => HeaderPolicy::Reserved,
             p => p,
         }
     });
     let d = Dispatch {
-        job: job(service, rule, pass.as_ref().and_then(|p| p.rank), &ask)
-            .at_home(site.settings.load().zones_in_regions(&homes)),
-        pass: pass.as_ref(),
+        job: job(
+            service,
+            rule,
+            authorization.as_ref().and_then(|p| p.rank),
+            &meta,
+        )
+        .at_home(site.settings.load().zones_in_regions(&homes)),
+        authorization: authorization.as_ref(),
         taken,
         site: &site,
         catalog: &catalog,
         rule,
-        ask: &ask,
+        meta: &meta,
         head: &head,
         body,
         caller: from,
@@ -175,17 +187,17 @@
 }
 
 /// Answers a request whose key no workspace has.
-fn unknown_key<P>(site: &Site<P>, version: u64, ask: &Ask) -> Response<Outgoing<P>>
+fn unknown_key<P>(site: &Site<P>, version: u64, meta: &RequestMeta) -> Response<Outgoing<P>>
 where
     P: Protocol,
 {
     Metrics::count(&site.metrics.requests, "unknown key");
     if may_log() {
-        let key = ask.key.map(|k| k.to_string());
-        tracing::info!(id = %ask.id, version, key, "no workspace has this key");
+        let key = meta.key.map(|k| k.to_string());
+        tracing::info!(id = %meta.id, version, key, "no workspace has this key");
     }
     let text = "a key of a workspace is needed\n";
-    plain(site, StatusCode::UNAUTHORIZED, &ask.id, text)
+    plain(site, StatusCode::UNAUTHORIZED, &meta.id, text)
 }
 
 /// Refuses a request whose workspace is over its limit.
@@ -213,8 +225,13 @@
 }
 
 /// Takes a request's fingerprint. Who asks is the workspace, whichever of its keys came along.
-fn fingerprint(w: Option<&Workspace>, ask: &Ask, head: &Parts, body: &Bytes) -> Fingerprint {
-    let key = ask.key.filter(|_| w.is_none()).map(|k| k.to_string());
+fn fingerprint(
+    w: Option<&Workspace>,
+    meta: &RequestMeta,
+    head: &Parts,
+    body: &Bytes,
+) -> Fingerprint {
+    let key = meta.key.filter(|_| w.is_none()).map(|k| k.to_string());
     let caller = w.map_or(key.as_deref(), |w| Some(&w.name));
     let path = head.uri.path_and_query();
     Fingerprint::of(&Identity {
@@ -227,12 +244,12 @@
 }
 
 /// Makes the job of a request. A workspace's rank goes before the rule's.
-fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, ask: &Ask) -> Job {
+fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, meta: &RequestMeta) -> Job {
     let rank = rank.unwrap_or(rule.rank);
-    match &ask.model {
+    match &meta.model {
         Some(m) => {
-            let tokens = (ask.prompt_tokens, ask.max_output);
-            Job::generation(service.clone(), m.clone(), rank, tokens, &ask.parts)
+            let tokens = (meta.prompt_tokens, meta.max_output);
+            Job::generation(service.clone(), m.clone(), rank, tokens, &meta.parts)
         }
         None => Job::plain(service.clone(), rank),
     }
--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -1,6 +1,6 @@
 //! Puts the process together.
 
-use crate::counted::Counted;
+use crate::counting_store::CountingStore;
 use crate::edge::{Feed, Protocol, Store};
 use crate::peer_state::HttpStates;
 use crate::settings::NodeSettings;
@@ -54,12 +54,15 @@
     let states = listen(&peers.to_string()).await?;
     let site = Site::new(settings, protocol);
     let gossip_socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
-    let store = Counted::new(store, &site.metrics);
+    let store = CountingStore::new(store, &site.metrics);
     let (stop_tx, stop) = watch::channel(false);
     let wanted = Arc::new(Notify::new());
     tokio::spawn(start_following(Arc::clone(&site), store.clone()));
     tokio::spawn(start::announce(Arc::clone(&site), store.clone()));
-    tokio::spawn(quarantine_sync::follow_peers(Arc::clone(&site), HttpStates));
+    tokio::spawn(quarantine_sync::sync_with_peers(
+        Arc::clone(&site),
+        HttpStates,
+    ));
     tokio::spawn(gossip::send(
         Arc::clone(&site),
         Arc::clone(&gossip_socket),
@@ -70,7 +73,7 @@
         Arc::clone(&gossip_socket),
     ));
     tokio::spawn(keys::confirm(Arc::clone(&site)));
-    tokio::spawn(limits::keep_pools(Arc::clone(&site)));
+    tokio::spawn(limits::collect_earnings(Arc::clone(&site)));
     tokio::spawn(gossip::receive(
         Arc::clone(&site),
         gossip_socket,
@@ -85,7 +88,7 @@
         stop.clone(),
     ));
     tokio::spawn(peer_state::serve(Arc::clone(&site), states));
-    tokio::spawn(caller::answer_balancer(Arc::clone(&site), balancer));
+    tokio::spawn(caller::serve_readiness(Arc::clone(&site), balancer));
     tokio::spawn(serve_operators(Arc::clone(&site)));
     tokio::spawn(reload(Arc::clone(&site), path));
     tokio::spawn(stop_when_told(Arc::clone(&site), stop_tx));
@@ -105,7 +108,7 @@
         let (site, store) = (Arc::clone(&site), store.clone());
         tokio::spawn(follow::follow(site, store, HttpStates, feed));
     }
-    quarantine_sync::keep(site, store).await;
+    quarantine_sync::persist(site, store).await;
 }
 
 async fn listen(address: &str) -> Result<TcpListener> {
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -5,9 +5,9 @@
 use crate::follower::position;
 use crate::logging::may_log;
 use crate::outbox::Outbox;
-use crate::quarantine_sync::Said;
+use crate::quarantine_sync::ReportedDigest;
 use crate::settings::NodeSettings;
-use crate::silence::Silences;
+use crate::unresponsive::UnresponsiveVms;
 use limehollow::arrivals::Arrivals;
 use limehollow::balance::{Balance, Taken};
 use limehollow::candidacy::{Candidacy, Notice};
@@ -133,9 +133,9 @@
     /// From whom those get the state that asked this VM at their start.
     pub start_tree: StartTree,
     /// VMs that keep pools or places and were silent lately.
-    pub silences: Silences,
+    pub unresponsive: UnresponsiveVms,
     /// What the other VMs said last of what they know of such requests, and where to ask for it.
-    pub quarantines: BTreeMap<SmolStr, Said>,
+    pub quarantines: BTreeMap<SmolStr, ReportedDigest>,
 }
 
 impl SiteView {
@@ -191,7 +191,7 @@
             is_listed: false,
             unlisted: BTreeMap::new(),
             start_tree: StartTree::default(),
-            silences: Silences::default(),
+            unresponsive: UnresponsiveVms::default(),
             quarantines: BTreeMap::new(),
         }
     }
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -5,14 +5,14 @@
 //! it into the store with one call. So what the store is asked at a start doesn't grow with the VMs. Where none of the named VMs answers, the
 //! VM reads the store itself, at a moment of its own.
 
-use crate::edge::{Feed, Protocol, States, Store, StoreError, Vm};
+use crate::edge::{Feed, PeerStates, Protocol, Store, StoreError, Vm};
 use crate::follower::{Follower, PeerState};
 use crate::settings::NodeSettings;
 use crate::site::Site;
 use limehollow::id::ZoneName;
 use limehollow::log_position::LogPosition;
 use limehollow::start_tree::Parent;
-use limehollow_wire::gossip::{About, Introduction, Member, Members, Reply, State};
+use limehollow_wire::gossip::{Introduction, Member, Members, QueryBody, Reply, State};
 use rand::seq::SliceRandom;
 use smol_str::{SmolStr, format_smolstr};
 use std::net::{IpAddr, SocketAddr};
@@ -46,7 +46,7 @@
 pub async fn start<P, T>(site: &Arc<Site<P>>, states: &T)
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     site.view().is_starting = true;
     get_state(site, states).await;
@@ -62,7 +62,7 @@
 async fn get_state<P, T>(site: &Arc<Site<P>>, states: &T)
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let began = site.now();
     let mut named = seed_addresses(&site.settings.load());
@@ -129,10 +129,10 @@
 async fn ask<P, T>(site: &Arc<Site<P>>, states: &T, vm: SocketAddr) -> Asked
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
-    let about = About::Start(introduction(&myself(site)));
-    let reply = site.questions.ask(&site.clock, vm, about, ANSWER_WITHIN);
+    let body = QueryBody::Start(introduction(&myself(site)));
+    let reply = site.queries.ask(&site.clock, vm, body, ANSWER_WITHIN);
     let Some(Reply::Giver(giver)) = reply.await else {
         return Asked::Silent;
     };
@@ -149,7 +149,7 @@
 pub(crate) async fn catch_up<P, T>(site: &Arc<Site<P>>, states: &T) -> bool
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let ahead = {
         let view = site.view();
@@ -169,7 +169,7 @@
 async fn wait_for_state<P, T>(site: &Site<P>, states: &T, giver: SocketAddr) -> Option<State>
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     let (until, beyond) = (site.now() + GIVER_WITHIN, site.positions().endpoints);
     loop {
@@ -188,7 +188,7 @@
 fn take_in<P, T>(site: &Arc<Site<P>>, states: &T, giver: SocketAddr, state: &State)
 where
     P: Protocol,
-    T: States,
+    T: PeerStates,
 {
     add_members(site, &state.members);
     site.view().has_peer_state = true;
--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -1,11 +1,11 @@
 //! What VMs say to each other, counted by kind: what grows faster than the site shows here first.
 
-use crate::counted;
+use crate::counting_store;
 use crate::edge::Protocol;
-use crate::metrics::{ByKind, Metrics};
+use crate::metrics::{DatagramLabels, Metrics};
 use crate::site::Site;
 use limehollow::send_budget::Urgency;
-use limehollow_wire::gossip::{About, Datagram, Message, Scope};
+use limehollow_wire::gossip::{Datagram, Message, QueryBody, Scope};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 
 /// Counts a datagram of so many bytes, which goes to so many VMs.
 pub(crate) fn count(metrics: &Metrics, way: Direction, d: &Datagram, bytes: usize, copies: usize) {
-    let by = ByKind {
+    let by = DatagramLabels {
         kind: kind(d),
         way: match way {
             Direction::Sent => "sent",
@@ -70,7 +70,7 @@
 /// Counts copies of a datagram that were not sent.
 pub(crate) fn count_held_back(metrics: &Metrics, d: &Datagram, copies: usize) {
     if copies > 0 {
-        let by = ByKind {
+        let by = DatagramLabels {
             kind: kind(d),
             way: "sent",
         };
@@ -88,7 +88,7 @@
 /// Tells how much a datagram matters.
 pub(crate) fn urgency(d: &Datagram) -> Urgency {
     match d {
-        Datagram::Question(_) | Datagram::Answer(_) => Urgency::Answer,
+        Datagram::Query(_) | Datagram::Answer(_) => Urgency::Answer,
         Datagram::Message(m) => match (m.scope, m.forward) {
             (Scope::Change | Scope::News, _) => Urgency::Change,
             (Scope::Vm, _) | (Scope::Zone, true) => Urgency::Periodic,
@@ -101,12 +101,12 @@
 pub(crate) fn kind(d: &Datagram) -> &'static str {
     match d {
         Datagram::Message(m) => message_kind(m),
-        Datagram::Question(q) => match q.about {
-            About::Configuration => CONFIGURATION,
-            About::Start(_) => START,
-            About::Tokens { .. } => TOKENS,
-            About::Place { .. } => PLACE,
-            About::Earnings { .. } => EARNINGS,
+        Datagram::Query(q) => match q.body {
+            QueryBody::Configuration => CONFIGURATION,
+            QueryBody::Start(_) => START,
+            QueryBody::Tokens { .. } => TOKENS,
+            QueryBody::Assignment { .. } => PLACE,
+            QueryBody::Earnings { .. } => EARNINGS,
         },
         Datagram::Answer(_) => ANSWER,
     }
@@ -132,7 +132,7 @@
     loop {
         due += SAY_EVERY;
         site.clock.sleep_until(due).await;
-        let (bytes, calls) = (totals(&site.metrics), counted::totals(&site.metrics));
+        let (bytes, calls) = (totals(&site.metrics), counting_store::totals(&site.metrics));
         tracing::info!(?bytes, ?calls, "traffic since the start");
     }
 }
@@ -142,7 +142,7 @@
     let mut out = BTreeMap::new();
     for way in ["sent", "received"] {
         for kind in KINDS {
-            let by = ByKind { kind, way };
+            let by = DatagramLabels { kind, way };
             let bytes = metrics.datagram_bytes.get(&by).map_or(0, |c| c.get());
             if bytes > 0 {
                 out.insert(format!("{way} {kind}"), bytes);
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -4,9 +4,9 @@
 
 use limehollow::backpressure::{RateSignal, Signals};
 use limehollow::instance::Instance;
-use limehollow_node::attempt::{Room, Target, may_send};
+use limehollow_node::attempt::{LimitGrant, Target, may_send};
 use limehollow_node::site::Site;
-use limehollow_node::{hearing, room};
+use limehollow_node::{endpoint_signals, limit_grant};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rig::Plain;
@@ -106,7 +106,7 @@
                 let mut e = endpoint.lock().expect("sound");
                 e.arrived += 1;
                 let knew = was_told.is_some_and(|t| asked - t >= TOLD_BEFORE);
-                if knew || matches!(to.room, Room::Granted(_)) {
+                if knew || matches!(to.grant, LimitGrant::Granted(_)) {
                     e.counted.push(asked);
                 }
                 e.rate
@@ -120,7 +120,7 @@
                 rate,
                 ..Signals::default()
             };
-            hearing::hear(&site, &to, asked, s);
+            endpoint_signals::apply(&site, &to, asked, s);
         });
     }
 
@@ -164,9 +164,9 @@
         key,
         instance: instance(),
         address,
-        room: Room::Unlimited,
+        grant: LimitGrant::Unlimited,
     };
-    to.room = room::take(site, &to).await.ok()?;
+    to.grant = limit_grant::acquire(site, &to).await.ok()?;
     Some(to)
 }
 
--- a/crates/limehollow-node/tests/passage.rs
+++ b/crates/limehollow-node/tests/header_policy.rs
@@ -1,14 +1,14 @@
 //! Which headers go through.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
-use limehollow_node::edge::Passage;
-use limehollow_node::passage::clean;
+use limehollow_node::edge::HeaderPolicy;
+use limehollow_node::header_policy::clean;
 
-fn passage(name: &HeaderName) -> Passage {
+fn policy(name: &HeaderName) -> HeaderPolicy {
     match name.as_str() {
-        "model" => Passage::Kept,
-        "reserve" => Passage::Ours,
-        _ => Passage::Passes,
+        "model" => HeaderPolicy::Required,
+        "reserve" => HeaderPolicy::Reserved,
+        _ => HeaderPolicy::Forward,
     }
 }
 
@@ -19,7 +19,7 @@
         let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
         h.append(name, HeaderValue::from_str(value).expect("a value"));
     }
-    clean(&mut h, passage);
+    clean(&mut h, policy);
     let text = |v: &HeaderValue| v.to_str().expect("text").to_owned();
     let left = h.iter().map(|(n, v)| (n.to_string(), text(v)));
     let mut left: Vec<(String, String)> = left.collect();
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -16,7 +16,7 @@
 use limehollow_node::edge::{Change, Feed};
 use limehollow_node::follow::follow;
 use limehollow_node::gossip::Sender;
-use limehollow_node::quarantine_sync::follow_peers;
+use limehollow_node::quarantine_sync::sync_with_peers;
 use limehollow_node::site::Site;
 use limehollow_node::{keys, limits, start};
 use std::sync::Arc;
@@ -282,21 +282,18 @@
         let address = vm.site.settings.load().peer_address();
         let states = Neighbours(self.net.clone(), vm.zone, address);
         vm.tasks
-            .push(tokio::spawn(follow_peers(Arc::clone(&vm.site), states)));
+            .push(tokio::spawn(sync_with_peers(Arc::clone(&vm.site), states)));
         let (net, site, from) = (self.net.clone(), Arc::clone(&vm.site), (vm.zone, address));
         vm.tasks.push(tokio::spawn(async move {
-            let mut rx = site
-                .questions
-                .take_outgoing()
-                .expect("nobody else takes it");
+            let mut rx = site.queries.take_outgoing().expect("nobody else takes it");
             while let Some((to, q)) = rx.recv().await {
-                tokio::spawn(net.clone().question(from, to, q));
+                tokio::spawn(net.clone().query(from, to, q));
             }
         }));
         vm.tasks
             .push(tokio::spawn(keys::confirm(Arc::clone(&vm.site))));
         vm.tasks
-            .push(tokio::spawn(limits::keep_pools(Arc::clone(&vm.site))));
+            .push(tokio::spawn(limits::collect_earnings(Arc::clone(&vm.site))));
         let (net, site, zone) = (self.net.clone(), Arc::clone(&vm.site), vm.zone);
         vm.tasks.push(tokio::spawn(async move {
             let mut sender = Sender::new(Arc::clone(&site));
@@ -411,9 +408,9 @@
     }
 
     /// Gives how many questions about something were sent so far.
-    pub fn questions(&self, about: &str) -> usize {
+    pub fn queries(&self, about: &str) -> usize {
         let ways = self.net.0.lock().expect("sound");
-        ways.questions.get(about).copied().unwrap_or(0)
+        ways.queries.get(about).copied().unwrap_or(0)
     }
 
     /// Counts the VMs whose keys count.
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -4,11 +4,11 @@
 use super::fleet_store::at_rate;
 use limehollow::crash_record::CrashRecord;
 use limehollow::log_position::LogPosition;
-use limehollow_node::edge::States;
+use limehollow_node::edge::PeerStates;
 use limehollow_node::gossip::{Outgoing, handle_message};
-use limehollow_node::question;
+use limehollow_node::query;
 use limehollow_node::site::Site;
-use limehollow_wire::gossip::{About, Members, Question, State, encode_crashes, encode_state};
+use limehollow_wire::gossip::{Members, Query, QueryBody, State, encode_crashes, encode_state};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -36,7 +36,7 @@
     /// VMs that stand still: what reaches them waits.
     pub(super) still: BTreeSet<SocketAddr>,
     /// Questions that were sent, by what they are about.
-    pub(super) questions: BTreeMap<&'static str, usize>,
+    pub(super) queries: BTreeMap<&'static str, usize>,
     /// Bytes of records of crashing requests that reached each VM.
     pub(super) crash_bytes: BTreeMap<SocketAddr, usize>,
     /// Until when each VM's link is full with states that it hands over, and how many it has handed over.
@@ -85,21 +85,21 @@
         }
     }
 
-    fn note_question(&self, q: &Question) {
-        let about = match q.about {
-            About::Configuration => "configuration",
-            About::Start(_) => "start",
-            About::Tokens { .. } => "tokens",
-            About::Place { .. } => "place",
-            About::Earnings { .. } => "earnings",
+    fn note_query(&self, q: &Query) {
+        let about = match q.body {
+            QueryBody::Configuration => "configuration",
+            QueryBody::Start(_) => "start",
+            QueryBody::Tokens { .. } => "tokens",
+            QueryBody::Assignment { .. } => "place",
+            QueryBody::Earnings { .. } => "earnings",
         };
         let mut ways = self.0.lock().expect("sound");
-        *ways.questions.entry(about).or_default() += 1;
+        *ways.queries.entry(about).or_default() += 1;
     }
 
     /// Brings a question to another VM and its answer back.
-    pub(super) async fn question(self, from: (usize, SocketAddr), to: SocketAddr, q: Question) {
-        self.note_question(&q);
+    pub(super) async fn query(self, from: (usize, SocketAddr), to: SocketAddr, q: Query) {
+        self.note_query(&q);
         sleep(WAY).await;
         self.goes_on(to).await;
         let Some((_, site)) = self.reach(from.0, to) else {
@@ -108,11 +108,11 @@
         if self.loses() {
             return;
         }
-        let answer = question::answer(&site, q);
+        let answer = query::answer(&site, q);
         sleep(WAY).await;
         self.goes_on(from.1).await;
         if let Some((_, asker)) = self.reach(from.0, from.1) {
-            asker.questions.answered(answer);
+            asker.queries.answered(answer);
         }
     }
 
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Neighbours(pub(super) Net, pub(super) usize, pub(super) SocketAddr);
 
-impl States for Neighbours {
+impl PeerStates for Neighbours {
     async fn fetch(&self, from: SocketAddr) -> Result<State, String> {
         sleep(WAY).await;
         let (_, site) = self.0.reach(self.1, from).ok_or("cut off")?;
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -25,8 +25,8 @@
 use limehollow_edge::settings::parse;
 use limehollow_node::caller;
 use limehollow_node::edge::{
-    Ask, BadAsk, BadAskSnafu, Change, Changes, Feed, Judgement, Order, OrderReply, Passage,
-    Protocol, Sending, States, Store, StoreError, Vm,
+    AnswerClass, Change, Changes, Feed, ForwardMeta, HeaderPolicy, Order, OrderReply,
+    ParseRequestError, ParseRequestSnafu, PeerStates, Protocol, RequestMeta, Store, StoreError, Vm,
 };
 use limehollow_node::settings::NodeSettings;
 use limehollow_node::site::Site;
@@ -50,21 +50,21 @@
 pub struct Plain;
 
 impl Protocol for Plain {
-    fn ask(&self, head: &Parts) -> Result<Ask, BadAsk> {
+    fn parse_request(&self, head: &Parts) -> Result<RequestMeta, ParseRequestError> {
         let Some(id) = head.headers.get(ID).and_then(|v| v.to_str().ok()) else {
-            return BadAskSnafu {
+            return ParseRequestSnafu {
                 header: "x-id",
                 why: "is missing",
             }
             .fail();
         };
-        Ok(Ask {
+        Ok(RequestMeta {
             id: SmolStr::new(id),
             key: head
                 .headers
                 .get("x-key")
                 .map(|v| KeyDigest::of(v.to_str().expect("text"))),
-            patience: None,
+            timeout: None,
             model: head.headers.get("x-model").map(|v| ModelRef {
                 model: SmolStr::new(v.to_str().expect("text")),
                 adapter: None,
@@ -75,24 +75,24 @@
         })
     }
 
-    fn request_header(&self, name: &HeaderName) -> Passage {
+    fn request_header(&self, name: &HeaderName) -> HeaderPolicy {
         match name.as_str() {
-            "x-id" | "host" => Passage::Kept,
-            "x-instance" | "x-reserve" | "x-workspace" => Passage::Ours,
-            "x-key" => Passage::Credential,
-            _ => Passage::Passes,
+            "x-id" | "host" => HeaderPolicy::Required,
+            "x-instance" | "x-reserve" | "x-workspace" => HeaderPolicy::Reserved,
+            "x-key" => HeaderPolicy::Credential,
+            _ => HeaderPolicy::Forward,
         }
     }
 
-    fn answer_header(&self, name: &HeaderName) -> Passage {
+    fn answer_header(&self, name: &HeaderName) -> HeaderPolicy {
         match name.as_str() {
-            "x-id" | "x-mark" => Passage::Kept,
-            "x-not-run" => Passage::Ours,
-            _ => Passage::Passes,
+            "x-id" | "x-mark" => HeaderPolicy::Required,
+            "x-not-run" => HeaderPolicy::Reserved,
+            _ => HeaderPolicy::Forward,
         }
     }
 
-    fn address(&self, headers: &mut HeaderMap, s: &Sending<'_>) {
+    fn set_forward_headers(&self, headers: &mut HeaderMap, s: &ForwardMeta<'_>) {
         let instance = HeaderValue::from_str(s.instance).expect("valid");
         headers.insert("x-instance", instance);
         if let Some(w) = s.workspace {
@@ -101,15 +101,21 @@
         }
     }
 
-    fn judge(&self, status: StatusCode, headers: &HeaderMap, id: &str, _: &str) -> Judgement {
+    fn classify_answer(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: &str,
+        _: &str,
+    ) -> AnswerClass {
         if headers.get(ID).is_some_and(|v| v != id) {
-            Judgement::Foreign
+            AnswerClass::Foreign
         } else if headers.contains_key(NOT_RUN) {
-            Judgement::NotRun
+            AnswerClass::NotRun
         } else if status.is_success() && !headers.contains_key(MARK) {
-            Judgement::Invalid
+            AnswerClass::Invalid
         } else {
-            Judgement::Genuine
+            AnswerClass::Genuine
         }
     }
 
@@ -129,11 +135,11 @@
         }
     }
 
-    fn sign(&self, headers: &mut HeaderMap, id: &str) {
+    fn set_request_id(&self, headers: &mut HeaderMap, id: &str) {
         headers.insert(ID, HeaderValue::from_str(id).expect("valid"));
     }
 
-    fn report(&self, _: &str) -> Request<Full<Bytes>> {
+    fn report_request(&self, _: &str) -> Request<Full<Bytes>> {
         Request::new(Full::default())
     }
 
@@ -141,7 +147,7 @@
         Err("no reports here".to_owned())
     }
 
-    fn order(&self, _: &Order<'_>) -> Request<Full<Bytes>> {
+    fn order_request(&self, _: &Order<'_>) -> Request<Full<Bytes>> {
         Request::new(Full::default())
     }
 
@@ -394,7 +400,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct NoStates;
 
-impl States for NoStates {
+impl PeerStates for NoStates {
     async fn fetch(&self, _: SocketAddr) -> Result<State, String> {
         Err("no other VM is there".to_owned())
     }
@@ -418,10 +424,10 @@
 
 /// A store in memory, which is away when a test says so.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(Arc<Mutex<Kept>>, Arc<Notify>);
+pub struct Memory(Arc<Mutex<Required>>, Arc<Notify>);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Required {
     changes: Vec<(Feed, Change)>,
     /// How often it came back from a copy.
     era: u64,
@@ -518,7 +524,7 @@
     fn read_on(&self, feed: Feed, from: LogPosition) -> Result<Changes, StoreError> {
         let era = self.0.lock().expect("sound").era;
         if from.era() != era {
-            return Err(StoreError::Forgotten { call: "changes" });
+            return Err(StoreError::HistoryGone { call: "changes" });
         }
         self.read(feed, usize::try_from(from.offset()).expect("it is small"))
     }
@@ -529,7 +535,7 @@
             return Err(away("changes"));
         }
         if from < kept.first || from > kept.changes.len() {
-            return Err(StoreError::Forgotten { call: "changes" });
+            return Err(StoreError::HistoryGone { call: "changes" });
         }
         let later = kept.changes.iter().skip(from);
         let changes = later.filter(|(f, _)| *f == feed).map(|(_, c)| c.clone());
@@ -628,7 +634,7 @@
         Ok(kept.crashes.values().cloned().collect())
     }
 
-    async fn keep_crash_record(
+    async fn put_crash_record(
         &self,
         request: Fingerprint,
         record: Option<&CrashRecord>,
@@ -654,5 +660,5 @@
 }
 
 fn away(call: &'static str) -> StoreError {
-    StoreError::TurnedAway { call, status: 503 }
+    StoreError::Rejected { call, status: 503 }
 }
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -251,11 +251,11 @@
 
 /// What one VM asks of another by datagram, to be answered at once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// Names the question in its answer.
     pub number: u64,
     /// What is asked.
-    pub about: About,
+    pub body: QueryBody,
 }
 
 /// What a VM says of itself to one that doesn't know it.
@@ -291,7 +291,7 @@
 
 /// What a question is about.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum About {
+pub enum QueryBody {
     /// How old the other's configuration is at most.
     Configuration,
     /// From whom this VM, which has just started, gets the site's state.
@@ -304,7 +304,7 @@
         tokens: f64,
     },
     /// Where a job goes; the other keeps the places of its endpoints.
-    Place {
+    Assignment {
         /// The job.
         job: Job,
         /// Endpoints that were tried already.
@@ -313,7 +313,7 @@
     /// What the other has earned of these limits.
     Earnings {
         /// The VM that keeps their pools.
-        keeper: SmolStr,
+        coordinator: SmolStr,
         /// How many VMs that one knows of.
         vms_known: u16,
         /// Whose limits.
@@ -323,13 +323,13 @@
 
 /// Where a job goes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Place {
+pub enum Assignment {
     /// To this endpoint, which is expected to give a first result after so many ms.
-    At(Instance, f32),
+    Endpoint(Instance, f32),
     /// All that hold its model have too many prompts to read; the first result would come after so many ms.
-    Crowded(f32),
+    Overloaded(f32),
     /// The VM that was asked knows of no endpoint.
-    Nowhere,
+    NoEndpoint,
 }
 
 /// The answer to a question.
@@ -360,9 +360,9 @@
     /// The pool has too few; in how many ms it has enough.
     Short(u32),
     /// Another VM keeps the pool, as far as this one knows.
-    NotKeeper,
+    NotCoordinator,
     /// Where the job goes.
-    Place(Place),
+    Assignment(Assignment),
     /// What was handed over of each limit, in the order of the question; none where another VM keeps the pool.
     Earnings(Vec<Option<f64>>),
 }
@@ -373,7 +373,7 @@
     /// What a VM tells others several times a second.
     Message(Box<Message>),
     /// A question.
-    Question(Question),
+    Query(Query),
     /// An answer.
     Answer(Answer),
 }
