--- a/crates/limehollow-bench/src/bin/slopes.rs
+++ b/crates/limehollow-bench/src/bin/slopes.rs
@@ -3,7 +3,7 @@
 //! Bytes are exact and the same on every machine. Times are of this machine; each is also given as a
 //! ratio to hashing one kibibyte in the same run, which carries over better.
 
-use limehollow::admission::{Admission, Offer, Subject};
+use limehollow::admission::{Admission, AdmissionRequest, Subject};
 use limehollow::claim::{ClaimRecord, Claimant, Claims};
 use limehollow::id::{LogTime, Offset, VmName};
 use limehollow::intent::{Intent, Priority};
@@ -208,7 +208,7 @@
     let table = TableMaker::default().make(&s.fleet, &BTreeSet::new());
     let now = Instant::now();
     let mut a = Admission::new("zone-0".into());
-    let offer = Offer {
+    let offer = AdmissionRequest {
         subject: Subject::Model("model-000".into()),
         caller: "caller".into(),
         priority: Priority::Normal,
--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -6,7 +6,7 @@
 )]
 
 use crate::fleets::{Size, Story};
-use limehollow::admission::{Admission, Admit, Offer, Subject, Ticket, Turn};
+use limehollow::admission::{Admission, AdmissionRequest, Admit, Subject, Ticket, Turn};
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
 use limehollow::load::{Ending, LoadReport};
@@ -191,7 +191,7 @@
                 self.engines[e].1.push_back(job);
             }
             Policy::Own => {
-                let offer = Offer {
+                let offer = AdmissionRequest {
                     subject: Subject::Model("model-000".into()),
                     caller: "caller".into(),
                     priority: Priority::Normal,
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/desk.rs
@@ -1,7 +1,7 @@
 //! Admission for many threads: one lock around the decisions, and the tasks that wait for them.
 
 use arc_swap::ArcSwap;
-use limehollow::admission::{Admission, Admit, Offer, Reason, Refusal, Ticket, Turn};
+use limehollow::admission::{Admission, AdmissionRequest, Admit, Reason, Refusal, Ticket, Turn};
 use limehollow::id::{EndpointKey, ZoneName};
 use limehollow::load::Ending;
 use limehollow::routing::Table;
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// The refusal, as soon as it is known.
-    pub async fn admit(self: &Arc<Self>, offer: Offer) -> Granted {
+    pub async fn admit(self: &Arc<Self>, offer: AdmissionRequest) -> Granted {
         match self.offer(offer) {
             First::Now(granted) => granted,
             First::Later(_place, rx) => {
@@ -118,7 +118,7 @@
         }
     }
 
-    fn offer(self: &Arc<Self>, offer: Offer) -> First {
+    fn offer(self: &Arc<Self>, offer: AdmissionRequest) -> First {
         let table = self.table.load();
         let now = Instant::now();
         let mut inner = self.lock();
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::request::Ask;
 use crate::shared::Shared;
 use bytes::Bytes;
-use limehollow::admission::{Offer, Reason, Refusal, Subject};
+use limehollow::admission::{AdmissionRequest, Reason, Refusal, Subject};
 use limehollow::intent::Priority;
 use limehollow::load::Ending;
 use limehollow::retry::{Attempts, Next};
@@ -29,7 +29,7 @@
     /// The request.
     pub ask: Ask,
     /// What admission is asked.
-    pub offer: Offer,
+    pub offer: AdmissionRequest,
     /// The attempts.
     pub attempts: Attempts,
 }
@@ -39,7 +39,7 @@
     #[must_use]
     pub fn new(ask: Ask, route: &Route) -> Self {
         let priority = ask.terms.priority.unwrap_or(route.priority);
-        let offer = Offer {
+        let offer = AdmissionRequest {
             subject: ask.subject.clone(),
             caller: ask.terms.caller.clone(),
             priority,
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -44,7 +44,7 @@
 
 /// A request that asks to be admitted.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct AdmissionRequest {
     /// What it is for.
     pub subject: Subject,
     /// Who sent it.
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 struct Waiting {
     ticket: Ticket,
-    offer: Offer,
+    offer: AdmissionRequest,
 }
 
 /// One caller's requests in a queue, the oldest first.
@@ -184,7 +184,7 @@
     /// Takes out all requests for which the predicate holds.
     fn take_if<F>(&mut self, mut f: F) -> Vec<Waiting>
     where
-        F: FnMut(&Offer) -> bool,
+        F: FnMut(&AdmissionRequest) -> bool,
     {
         let mut out = Vec::new();
         for lines in &mut self.lines {
@@ -285,7 +285,7 @@
     }
 
     /// Decides about a new request, or about one that is to be tried again.
-    pub fn offer(&mut self, now: Instant, table: &Table, offer: Offer) -> Admit {
+    pub fn offer(&mut self, now: Instant, table: &Table, offer: AdmissionRequest) -> Admit {
         let Some(route) = offer.subject.route(table).filter(|r| !r.targets.is_empty()) else {
             return Admit::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         };
@@ -315,7 +315,7 @@
         self.enqueue(offer, wait)
     }
 
-    fn enqueue(&mut self, offer: Offer, wait: Duration) -> Admit {
+    fn enqueue(&mut self, offer: AdmissionRequest, wait: Duration) -> Admit {
         let full = self.waiting >= MAX_WAITING;
         let q = self.queues.entry(offer.subject.clone()).or_default();
         if full || q.len >= MAX_QUEUE {
@@ -429,7 +429,7 @@
         }
     }
 
-    fn pick(&self, now: Instant, route: &Route, offer: &Offer) -> Option<EndpointKey> {
+    fn pick(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Option<EndpointKey> {
         let wish = Wish {
             zone: &self.zone,
             affinity: offer.affinity,
@@ -438,7 +438,7 @@
         pick(now, route, &self.loads, &wish).map(|t| t.key)
     }
 
-    fn service_time(&self, offer: &Offer) -> Duration {
+    fn service_time(&self, offer: &AdmissionRequest) -> Duration {
         self.times
             .get(&offer.subject)
             .map_or(Duration::ZERO, |t| t.estimate(offer.tokens))
@@ -456,7 +456,7 @@
     /// Estimates the wait of a new request: those ahead of it, at the pace at which requests were
     /// started lately; before there is a pace, over the slots of its endpoints, which is too short
     /// where other gateways use them too.
-    fn wait_estimate(&self, now: Instant, route: &Route, offer: &Offer) -> Duration {
+    fn wait_estimate(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Duration {
         if self.pick(now, route, offer).is_some() {
             return Duration::ZERO;
         }
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -48,7 +48,7 @@
     }
 
     fn offer_at(&mut self, caller: &str, priority: Priority) -> Admit {
-        let o = limehollow::admission::Offer {
+        let o = limehollow::admission::AdmissionRequest {
             priority,
             ..offer(self.t, caller, 600_000)
         };
@@ -280,7 +280,7 @@
         due += 8.0 * share * tick.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
-            let o = limehollow::admission::Offer {
+            let o = limehollow::admission::AdmissionRequest {
                 tokens: 1,
                 ..offer(t, "c", 4_000)
             };
--- a/crates/limehollow/tests/traffic/mod.rs
+++ b/crates/limehollow/tests/traffic/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use limehollow::admission::{Offer, Subject};
+use limehollow::admission::{AdmissionRequest, Subject};
 use limehollow::fleet::Fleet;
 use limehollow::id::{EndpointKey, LogTime, Offset};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
@@ -110,8 +110,8 @@
     (table, maker)
 }
 
-pub fn offer(now: Instant, caller: &str, deadline_ms: u64) -> Offer {
-    Offer {
+pub fn offer(now: Instant, caller: &str, deadline_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         subject: Subject::Model("m".into()),
         caller: caller.into(),
         priority: Priority::Normal,
