--- a/crates/limehollow-bench/src/bin/slopes.rs
+++ b/crates/limehollow-bench/src/bin/slopes.rs
@@ -220,7 +220,9 @@
     unit.row(
         "one request admitted, routed and ended",
         time(|| {
-            if let limehollow::admission::Admit::Start(k) = a.offer(now, &table, offer.clone()) {
+            if let limehollow::admission::AdmissionDecision::Start(k) =
+                a.offer(now, &table, offer.clone())
+            {
                 a.finish(
                     now,
                     k,
--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -6,7 +6,9 @@
 )]
 
 use crate::fleets::{Size, Story};
-use limehollow::admission::{Admission, AdmissionRequest, Admit, Subject, Ticket, Turn};
+use limehollow::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, Subject, Ticket, Turn,
+};
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
 use limehollow::load::{Ending, LoadReport};
@@ -201,11 +203,11 @@
                     failed: Vec::new(),
                 };
                 match self.gateways[gateway].offer(now, &self.table, offer) {
-                    Admit::Start(key) => self.put(now, key, job),
-                    Admit::Wait(ticket) => {
+                    AdmissionDecision::Start(key) => self.put(now, key, job),
+                    AdmissionDecision::Wait(ticket) => {
                         waiting.insert((gateway, ticket), job);
                     }
-                    Admit::Refuse(_) => self.refuse(now, &job),
+                    AdmissionDecision::Refuse(_) => self.refuse(now, &job),
                 }
             }
         }
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/desk.rs
@@ -1,7 +1,9 @@
 //! Admission for many threads: one lock around the decisions, and the tasks that wait for them.
 
 use arc_swap::ArcSwap;
-use limehollow::admission::{Admission, AdmissionRequest, Admit, Reason, Refusal, Ticket, Turn};
+use limehollow::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, Reason, Refusal, Ticket, Turn,
+};
 use limehollow::id::{EndpointKey, ZoneName};
 use limehollow::load::Ending;
 use limehollow::routing::Table;
@@ -126,7 +128,7 @@
         let mut shed = None;
         if matches!(
             admit,
-            Admit::Refuse(Refusal {
+            AdmissionDecision::Refuse(Refusal {
                 reason: Reason::QueueFull,
                 ..
             })
@@ -138,9 +140,9 @@
         }
         let shed = shed.and_then(|(t, r)| inner.waiters.remove(&t).map(|tx| (tx, r)));
         let first = match admit {
-            Admit::Start(key) => First::Now(Ok(self.slot(key))),
-            Admit::Refuse(r) => First::Now(Err(r)),
-            Admit::Wait(ticket) => {
+            AdmissionDecision::Start(key) => First::Now(Ok(self.slot(key))),
+            AdmissionDecision::Refuse(r) => First::Now(Err(r)),
+            AdmissionDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 inner.waiters.insert(ticket, tx);
                 First::Later(
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -89,7 +89,7 @@
 
 /// The answer to an offer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum AdmissionDecision {
     /// Send it to this endpoint now.
     Start(EndpointKey),
     /// It waits; [`Admission::poll`] says what becomes of it.
@@ -285,20 +285,25 @@
     }
 
     /// Decides about a new request, or about one that is to be tried again.
-    pub fn offer(&mut self, now: Instant, table: &Table, offer: AdmissionRequest) -> Admit {
+    pub fn offer(
+        &mut self,
+        now: Instant,
+        table: &Table,
+        offer: AdmissionRequest,
+    ) -> AdmissionDecision {
         let Some(route) = offer.subject.route(table).filter(|r| !r.targets.is_empty()) else {
-            return Admit::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
+            return AdmissionDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         };
         // Waiting can't help a request that every endpoint has failed already.
         if route.targets.iter().all(|t| offer.failed.contains(&t.key)) {
-            return Admit::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
+            return AdmissionDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         }
         let service = self.service_time(&offer);
         let wait = self.wait_estimate(now, route, &offer);
         let idle = self.is_idle(route);
         if !idle && now + wait + service > offer.deadline {
             let late = (now + wait + service).duration_since(offer.deadline);
-            return Admit::Refuse(refuse(Reason::TooLate, late));
+            return AdmissionDecision::Refuse(refuse(Reason::TooLate, late));
         }
         let first_in_line = self
             .queues
@@ -307,25 +312,25 @@
         if first_in_line && let Some(key) = self.pick(now, route, &offer) {
             self.loads.start(key);
             self.starts.entry(offer.subject).or_default().note(now);
-            return Admit::Start(key);
+            return AdmissionDecision::Start(key);
         }
         if now + service > offer.deadline {
-            return Admit::Refuse(refuse(Reason::TooLate, wait));
+            return AdmissionDecision::Refuse(refuse(Reason::TooLate, wait));
         }
         self.enqueue(offer, wait)
     }
 
-    fn enqueue(&mut self, offer: AdmissionRequest, wait: Duration) -> Admit {
+    fn enqueue(&mut self, offer: AdmissionRequest, wait: Duration) -> AdmissionDecision {
         let full = self.waiting >= MAX_WAITING;
         let q = self.queues.entry(offer.subject.clone()).or_default();
         if full || q.len >= MAX_QUEUE {
-            return Admit::Refuse(refuse(Reason::QueueFull, wait));
+            return AdmissionDecision::Refuse(refuse(Reason::QueueFull, wait));
         }
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         q.push(Waiting { ticket, offer });
         self.waiting += 1;
-        Admit::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
     /// Makes room in a full queue for a more important request.
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -2,7 +2,9 @@
 
 mod traffic;
 
-use limehollow::admission::{Admission, Admit, MAX_QUEUE, Reason, Refusal, Subject, Ticket, Turn};
+use limehollow::admission::{
+    Admission, AdmissionDecision, MAX_QUEUE, Reason, Refusal, Subject, Ticket, Turn,
+};
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
 use limehollow::load::Ending;
@@ -42,12 +44,12 @@
         }
     }
 
-    fn offer(&mut self, caller: &str, deadline_ms: u64) -> Admit {
+    fn offer(&mut self, caller: &str, deadline_ms: u64) -> AdmissionDecision {
         let o = offer(self.t, caller, deadline_ms);
         self.admission.offer(self.t, &self.table, o)
     }
 
-    fn offer_at(&mut self, caller: &str, priority: Priority) -> Admit {
+    fn offer_at(&mut self, caller: &str, priority: Priority) -> AdmissionDecision {
         let o = limehollow::admission::AdmissionRequest {
             priority,
             ..offer(self.t, caller, 600_000)
@@ -58,7 +60,10 @@
     /// Fills the engine's eight slots.
     fn fill(&mut self) {
         for _ in 0..8 {
-            assert!(matches!(self.offer("filler", 60_000), Admit::Start(_)));
+            assert!(matches!(
+                self.offer("filler", 60_000),
+                AdmissionDecision::Start(_)
+            ));
         }
     }
 
@@ -71,16 +76,16 @@
     }
 }
 
-fn ticket(a: Admit) -> Ticket {
+fn ticket(a: AdmissionDecision) -> Ticket {
     match a {
-        Admit::Wait(t) => t,
+        AdmissionDecision::Wait(t) => t,
         other => panic!("{other:?} is not waiting"),
     }
 }
 
-fn refusal(a: Admit) -> Refusal {
+fn refusal(a: AdmissionDecision) -> Refusal {
     match a {
-        Admit::Refuse(r) => r,
+        AdmissionDecision::Refuse(r) => r,
         other => panic!("{other:?} is no refusal"),
     }
 }
@@ -121,7 +126,7 @@
 fn offer_idle_learns_again() {
     // A wrong estimate must not refuse everything for ever: an idle gateway lets one try.
     let mut g = Gate::new();
-    assert!(matches!(g.offer("c", 50), Admit::Start(_)));
+    assert!(matches!(g.offer("c", 50), AdmissionDecision::Start(_)));
     assert_eq!(refusal(g.offer("c", 50)).reason, Reason::TooLate);
 }
 
@@ -286,11 +291,11 @@
             };
             let deadline = o.deadline;
             match g.admission.offer(t, &g.table, o) {
-                Admit::Start(_) => finish.push((t + service, deadline)),
-                Admit::Wait(ticket) => {
+                AdmissionDecision::Start(_) => finish.push((t + service, deadline)),
+                AdmissionDecision::Wait(ticket) => {
                     deadlines.insert(ticket, deadline);
                 }
-                Admit::Refuse(_) => {}
+                AdmissionDecision::Refuse(_) => {}
             }
         }
         for (ticket, turn) in g.admission.poll(t, &g.table) {
