--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -7,7 +7,7 @@
 
 use crate::fleets::{Size, Story};
 use limehollow::admission::{
-    Admission, AdmissionDecision, AdmissionRequest, Subject, Ticket, Turn,
+    Admission, AdmissionDecision, AdmissionRequest, QueueDecision, Subject, Ticket,
 };
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
@@ -144,8 +144,8 @@
                         continue;
                     };
                     match turn {
-                        Turn::Start(key) => self.put(now, key, job),
-                        Turn::Refuse(_) => self.refuse(now, &job),
+                        QueueDecision::Start(key) => self.put(now, key, job),
+                        QueueDecision::Refuse(_) => self.refuse(now, &job),
                     }
                 }
             }
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/desk.rs
@@ -2,7 +2,7 @@
 
 use arc_swap::ArcSwap;
 use limehollow::admission::{
-    Admission, AdmissionDecision, AdmissionRequest, Reason, Refusal, Ticket, Turn,
+    Admission, AdmissionDecision, AdmissionRequest, QueueDecision, Reason, Refusal, Ticket,
 };
 use limehollow::id::{EndpointKey, ZoneName};
 use limehollow::load::Ending;
@@ -174,8 +174,8 @@
         for (ticket, turn) in turns {
             let waiter = inner.waiters.remove(&ticket);
             let grant = match turn {
-                Turn::Start(key) => Ok(self.slot(key)),
-                Turn::Refuse(r) => Err(r),
+                QueueDecision::Start(key) => Ok(self.slot(key)),
+                QueueDecision::Refuse(r) => Err(r),
             };
             granted.push((waiter, grant));
         }
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -100,7 +100,7 @@
 
 /// What became of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum QueueDecision {
     /// Send it to this endpoint now.
     Start(EndpointKey),
     /// Refuse it now.
@@ -376,7 +376,7 @@
     }
 
     /// Says which waiting requests start and which are given up on now.
-    pub fn poll(&mut self, now: Instant, table: &Table) -> Vec<(Ticket, Turn)> {
+    pub fn poll(&mut self, now: Instant, table: &Table) -> Vec<(Ticket, QueueDecision)> {
         let mut turns = Vec::new();
         let subjects: Vec<Subject> = self.queues.keys().cloned().collect();
         for subject in &subjects {
@@ -389,7 +389,12 @@
     }
 
     /// Gives up on requests that could not make it even if they started now.
-    fn give_up_late(&mut self, now: Instant, subject: &Subject, turns: &mut Vec<(Ticket, Turn)>) {
+    fn give_up_late(
+        &mut self,
+        now: Instant,
+        subject: &Subject,
+        turns: &mut Vec<(Ticket, QueueDecision)>,
+    ) {
         let time = self.times.get(subject).copied().unwrap_or_default();
         let Some(q) = self.queues.get_mut(subject) else {
             return;
@@ -398,7 +403,7 @@
         turns.extend(late.into_iter().map(|w| {
             (
                 w.ticket,
-                Turn::Refuse(refuse(Reason::TooLate, MIN_RETRY_AFTER)),
+                QueueDecision::Refuse(refuse(Reason::TooLate, MIN_RETRY_AFTER)),
             )
         }));
     }
@@ -408,7 +413,7 @@
         now: Instant,
         table: &Table,
         subject: &Subject,
-        turns: &mut Vec<(Ticket, Turn)>,
+        turns: &mut Vec<(Ticket, QueueDecision)>,
     ) {
         loop {
             let front = self.queues.get(subject).and_then(Queue::front);
@@ -417,14 +422,14 @@
             };
             let route = offer.subject.route(table).filter(|r| !r.targets.is_empty());
             let turn = match route {
-                None => Turn::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER)),
+                None => QueueDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER)),
                 Some(route) => match self.pick(now, route, offer) {
                     None => return,
-                    Some(key) => Turn::Start(key),
+                    Some(key) => QueueDecision::Start(key),
                 },
             };
             turns.push((*ticket, turn));
-            if let Turn::Start(key) = turn {
+            if let QueueDecision::Start(key) = turn {
                 self.loads.start(key);
                 self.starts.entry(subject.clone()).or_default().note(now);
             }
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -3,7 +3,7 @@
 mod traffic;
 
 use limehollow::admission::{
-    Admission, AdmissionDecision, MAX_QUEUE, Reason, Refusal, Subject, Ticket, Turn,
+    Admission, AdmissionDecision, MAX_QUEUE, QueueDecision, Reason, Refusal, Subject, Ticket,
 };
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
@@ -67,7 +67,7 @@
         }
     }
 
-    fn finish_one(&mut self) -> Vec<(Ticket, Turn)> {
+    fn finish_one(&mut self) -> Vec<(Ticket, QueueDecision)> {
         let ending = Ending::Whole {
             first: Duration::from_millis(100),
         };
@@ -141,7 +141,7 @@
     g.t += Duration::from_millis(10);
     let turns = g.admission.poll(g.t, &g.table);
     assert!(
-        matches!(turns[..], [(t, Turn::Refuse(r))] if t == waiting && r.reason == Reason::TooLate)
+        matches!(turns[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::TooLate)
     );
     assert_eq!(g.admission.waiting(), 0);
 }
@@ -152,8 +152,8 @@
     g.fill();
     let first = ticket(g.offer("c", 60_000));
     let second = ticket(g.offer("c", 60_000));
-    assert_eq!(g.finish_one(), [(first, Turn::Start(g.key))]);
-    assert_eq!(g.finish_one(), [(second, Turn::Start(g.key))]);
+    assert_eq!(g.finish_one(), [(first, QueueDecision::Start(g.key))]);
+    assert_eq!(g.finish_one(), [(second, QueueDecision::Start(g.key))]);
 }
 
 #[test]
@@ -196,7 +196,7 @@
     ticket(g.offer("late", 60_000));
     assert_eq!(
         g.admission.poll(g.t, &g.table),
-        [(waiting, Turn::Start(g.key))]
+        [(waiting, QueueDecision::Start(g.key))]
     );
 }
 
@@ -237,7 +237,7 @@
     let stays = ticket(g.offer("c", 60_000));
     g.admission.cancel(gone);
     assert_eq!(g.admission.waiting(), 1);
-    assert_eq!(g.finish_one(), [(stays, Turn::Start(g.key))]);
+    assert_eq!(g.finish_one(), [(stays, QueueDecision::Start(g.key))]);
 }
 
 #[test]
@@ -249,7 +249,7 @@
     let (empty, _) = table(&[]);
     let turns = g.admission.poll(g.t, &empty);
     assert!(
-        matches!(turns[..], [(t, Turn::Refuse(r))] if t == waiting && r.reason == Reason::NoTarget)
+        matches!(turns[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::NoTarget)
     );
 }
 
@@ -300,7 +300,7 @@
         }
         for (ticket, turn) in g.admission.poll(t, &g.table) {
             let deadline = deadlines.remove(&ticket).expect("it waited");
-            if matches!(turn, Turn::Start(_)) {
+            if matches!(turn, QueueDecision::Start(_)) {
                 finish.push((t + service, deadline));
             }
         }
@@ -331,6 +331,6 @@
     g.admission.finish(g.t, g.key, Ending::Cancelled);
     assert_eq!(
         g.admission.poll(g.t, &g.table),
-        [(waiting, Turn::Start(g.key))]
+        [(waiting, QueueDecision::Start(g.key))]
     );
 }
