--- a/crates/limehollow-bench/src/bin/slopes.rs
+++ b/crates/limehollow-bench/src/bin/slopes.rs
@@ -221,7 +221,7 @@
         "one request admitted, routed and ended",
         time(|| {
             if let limehollow::admission::AdmissionDecision::Start(k) =
-                a.offer(now, &table, offer.clone())
+                a.admit(now, &table, offer.clone())
             {
                 a.finish(
                     now,
--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -202,7 +202,7 @@
                     affinity: u64::from(self.result.requests),
                     failed: Vec::new(),
                 };
-                match self.gateways[gateway].offer(now, &self.table, offer) {
+                match self.gateways[gateway].admit(now, &self.table, offer) {
                     AdmissionDecision::Start(key) => self.put(now, key, job),
                     AdmissionDecision::Wait(ticket) => {
                         waiting.insert((gateway, ticket), job);
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/desk.rs
@@ -124,7 +124,7 @@
         let table = self.table.load();
         let now = Instant::now();
         let mut inner = self.lock();
-        let mut admit = inner.admission.offer(now, &table, offer.clone());
+        let mut admit = inner.admission.admit(now, &table, offer.clone());
         let mut shed = None;
         if matches!(
             admit,
@@ -135,7 +135,7 @@
         ) {
             shed = inner.admission.shed_for(&offer.subject, offer.priority);
             if shed.is_some() {
-                admit = inner.admission.offer(now, &table, offer);
+                admit = inner.admission.admit(now, &table, offer);
             }
         }
         let shed = shed.and_then(|(t, r)| inner.waiters.remove(&t).map(|tx| (tx, r)));
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -285,7 +285,7 @@
     }
 
     /// Decides about a new request, or about one that is to be tried again.
-    pub fn offer(
+    pub fn admit(
         &mut self,
         now: Instant,
         table: &Table,
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -46,7 +46,7 @@
 
     fn offer(&mut self, caller: &str, deadline_ms: u64) -> AdmissionDecision {
         let o = offer(self.t, caller, deadline_ms);
-        self.admission.offer(self.t, &self.table, o)
+        self.admission.admit(self.t, &self.table, o)
     }
 
     fn offer_at(&mut self, caller: &str, priority: Priority) -> AdmissionDecision {
@@ -54,7 +54,7 @@
             priority,
             ..offer(self.t, caller, 600_000)
         };
-        self.admission.offer(self.t, &self.table, o)
+        self.admission.admit(self.t, &self.table, o)
     }
 
     /// Fills the engine's eight slots.
@@ -96,7 +96,7 @@
     let mut a = Admission::new("a".into());
     let t = Instant::now();
     assert_eq!(
-        refusal(a.offer(t, &table, offer(t, "c", 1_000))).reason,
+        refusal(a.admit(t, &table, offer(t, "c", 1_000))).reason,
         Reason::NoTarget
     );
 }
@@ -107,7 +107,7 @@
     let mut g = Gate::new();
     let mut o = offer(g.t, "c", 60_000);
     o.failed.push(g.key);
-    let r = refusal(g.admission.offer(g.t, &g.table, o));
+    let r = refusal(g.admission.admit(g.t, &g.table, o));
     assert_eq!(r.reason, Reason::NoTarget);
 }
 
@@ -290,7 +290,7 @@
                 ..offer(t, "c", 4_000)
             };
             let deadline = o.deadline;
-            match g.admission.offer(t, &g.table, o) {
+            match g.admission.admit(t, &g.table, o) {
                 AdmissionDecision::Start(_) => finish.push((t + service, deadline)),
                 AdmissionDecision::Wait(ticket) => {
                     deadlines.insert(ticket, deadline);
