--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -249,7 +249,7 @@
                 let g = &mut self.gateways[job.gateway];
                 g.finish(now, self.keys[e], Ending::Whole { first });
                 let m = Subject::Model("model-000".into());
-                g.learn(&m, now - job.dispatched, Duration::ZERO, 1);
+                g.record_answer(&m, now - job.dispatched, Duration::ZERO, 1);
             }
         }
     }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -316,7 +316,7 @@
     let subject = &course.ask.subject;
     shared
         .desk
-        .with(|a| a.learn(subject, now - sent_at, Duration::ZERO, 1));
+        .with(|a| a.record_answer(subject, now - sent_at, Duration::ZERO, 1));
     let outcome = if now <= course.ask.terms.deadline {
         "attained"
     } else {
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -184,7 +184,7 @@
         let (to_first, rest) = (first - self.sent_at, now - first);
         self.shared
             .desk
-            .with(|a| a.learn(&subject, to_first, rest, tokens));
+            .with(|a| a.record_answer(&subject, to_first, rest, tokens));
         let outcome = if now <= self.course.ask.terms.deadline {
             "attained"
         } else {
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -368,7 +368,13 @@
     }
 
     /// Learns from a whole answer how long answers take.
-    pub fn learn(&mut self, subject: &Subject, first: Duration, rest: Duration, tokens: u32) {
+    pub fn record_answer(
+        &mut self,
+        subject: &Subject,
+        first: Duration,
+        rest: Duration,
+        tokens: u32,
+    ) {
         self.times
             .entry(subject.clone())
             .or_default()
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -30,7 +30,7 @@
         let key = key(&table, "a1");
         let mut admission = Admission::new("a".into());
         let m = Subject::Model("m".into());
-        admission.learn(
+        admission.record_answer(
             &m,
             Duration::from_millis(100),
             Duration::from_millis(90),
@@ -260,7 +260,7 @@
     let (start, service) = (g.t, Duration::from_secs(1));
     let m = Subject::Model("m".into());
     for _ in 0..50 {
-        g.admission.learn(&m, service, Duration::ZERO, 1);
+        g.admission.record_answer(&m, service, Duration::ZERO, 1);
     }
     let mut running: Vec<Instant> = Vec::new();
     let mut deadlines = std::collections::HashMap::new();
@@ -280,7 +280,7 @@
             good += u32::from(end <= deadline);
             g.admission
                 .finish(t, g.key, Ending::Whole { first: service });
-            g.admission.learn(&m, service, Duration::ZERO, 1);
+            g.admission.record_answer(&m, service, Duration::ZERO, 1);
         }
         due += 8.0 * share * tick.as_secs_f64();
         while due >= 1.0 {
