--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -8,7 +8,7 @@
 use crate::id::ZoneName;
 use crate::intent::Priority;
 use crate::load::{Ending, LoadReport, Loads, ServiceTime};
-use crate::routing::{Route, Table, Wish, pick};
+use crate::routing::{Route, RouteQuery, Table, pick};
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -55,7 +55,7 @@
     pub deadline: Instant,
     /// The most tokens that it may generate.
     pub tokens: u32,
-    /// See [`Wish::affinity`].
+    /// See [`RouteQuery::affinity`].
     pub affinity: u64,
     /// Endpoints that already failed it.
     pub failed: Vec<EndpointKey>,
@@ -446,12 +446,12 @@
     }
 
     fn pick(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Option<EndpointKey> {
-        let wish = Wish {
+        let query = RouteQuery {
             zone: &self.zone,
             affinity: offer.affinity,
             failed: &offer.failed,
         };
-        pick(now, route, &self.loads, &wish).map(|t| t.key)
+        pick(now, route, &self.loads, &query).map(|t| t.key)
     }
 
     fn service_time(&self, offer: &AdmissionRequest) -> Duration {
--- a/crates/limehollow/src/routing.rs
+++ b/crates/limehollow/src/routing.rs
@@ -181,7 +181,7 @@
 
 /// What a request asks of routing.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct RouteQuery<'a> {
     /// The gateway's own zone.
     pub zone: &'a ZoneName,
     /// The hash of what a cache could share between requests: the model and the prompt's beginning.
@@ -199,9 +199,9 @@
     now: Instant,
     route: &'t Route,
     loads: &Loads,
-    wish: &Wish<'_>,
+    query: &RouteQuery<'_>,
 ) -> Option<&'t Target> {
-    let fresh = |t: &&Target| !wish.failed.contains(&t.key);
+    let fresh = |t: &&Target| !query.failed.contains(&t.key);
     let usable: Vec<&Target> = route.targets.iter().filter(fresh).collect();
     let sound: Vec<&Target> = usable
         .iter()
@@ -209,8 +209,9 @@
         .filter(|t| !loads.is_ejected(now, t.key))
         .collect();
     let from = if sound.is_empty() { usable } else { sound };
-    let (near, far): (Vec<&Target>, Vec<&Target>) = from.iter().partition(|t| t.zone == *wish.zone);
-    pick_among(now, &near, loads, wish).or_else(|| pick_among(now, &far, loads, wish))
+    let (near, far): (Vec<&Target>, Vec<&Target>) =
+        from.iter().partition(|t| t.zone == *query.zone);
+    pick_among(now, &near, loads, query).or_else(|| pick_among(now, &far, loads, query))
 }
 
 /// Takes the first in the order of affinity whose load isn't far above the mean.
@@ -218,7 +219,7 @@
     now: Instant,
     targets: &[&'t Target],
     loads: &Loads,
-    wish: &Wish<'_>,
+    query: &RouteQuery<'_>,
 ) -> Option<&'t Target> {
     let total: f64 = targets.iter().map(|t| loads.estimate(now, t.key)).sum();
     #[expect(
@@ -230,7 +231,7 @@
     let mut open: Vec<(u64, f64, &Target)> = targets
         .iter()
         .filter(|t| loads.has_room(t.key))
-        .map(|t| (weight(wish.affinity, t), loads.estimate(now, t.key), *t))
+        .map(|t| (weight(query.affinity, t), loads.estimate(now, t.key), *t))
         .collect();
     open.sort_by_key(|(w, _, _)| std::cmp::Reverse(*w));
     let within = open.iter().find(|(_, load, _)| *load < bound);
--- a/crates/limehollow/tests/routing.rs
+++ b/crates/limehollow/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use limehollow::id::EndpointKey;
 use limehollow::load::{Ending, LoadReport, Loads};
-use limehollow::routing::{Table, TableMaker, Wish, pick};
+use limehollow::routing::{RouteQuery, Table, TableMaker, pick};
 use limehollow::verdict::Failure;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,7 +26,7 @@
         t,
         route,
         loads,
-        &Wish {
+        &RouteQuery {
             zone: &zone,
             affinity,
             failed,
