--- a/crates/limehollow-bench/src/bin/slopes.rs
+++ b/crates/limehollow-bench/src/bin/slopes.rs
@@ -12,7 +12,7 @@
 use limehollow::order::{Driver, Rules};
 use limehollow::placement;
 use limehollow::record::Record;
-use limehollow::routing::TableMaker;
+use limehollow::routing::TableBuilder;
 use limehollow_bench::fleets::{
     LANTERWIJK, Size, Story, VREDNOST, WHOLE, ZONE, intent, loads, zone_members,
 };
@@ -107,7 +107,7 @@
         );
         unit.row(
             "one table of routes",
-            time(|| TableMaker::default().make(&s.fleet, &BTreeSet::new())),
+            time(|| TableBuilder::default().build(&s.fleet, &BTreeSet::new())),
         );
         let mut driver = Driver::new("zone-0".into(), "entry-0-0".into(), 1, Rules::default());
         let now = Instant::now();
@@ -205,7 +205,7 @@
 fn traffic(unit: &Unit) {
     println!("# a gateway's decisions");
     let s = Story::serving(&ZONE);
-    let table = TableMaker::default().make(&s.fleet, &BTreeSet::new());
+    let table = TableBuilder::default().build(&s.fleet, &BTreeSet::new());
     let now = Instant::now();
     let mut a = Admission::new("zone-0".into());
     let offer = AdmissionRequest {
--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -12,7 +12,7 @@
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
 use limehollow::load::{Ending, LoadReport};
-use limehollow::routing::{Table, TableMaker};
+use limehollow::routing::{Table, TableBuilder};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -97,7 +97,7 @@
         replicas: 8,
     };
     let story = Story::serving(&size);
-    let table = TableMaker::default().make(&story.fleet, &BTreeSet::new());
+    let table = TableBuilder::default().build(&story.fleet, &BTreeSet::new());
     let keys: Vec<EndpointKey> = table
         .model("model-000")
         .map(|r| r.targets.iter().map(|t| t.key).collect())
--- a/crates/limehollow-gateway/src/control.rs
+++ b/crates/limehollow-gateway/src/control.rs
@@ -7,7 +7,7 @@
 use limehollow::id::{Incarnation, Offset, VmName, ZoneName};
 use limehollow::listing::{Listed, ListedKind};
 use limehollow::replay::Replay;
-use limehollow::routing::{Table, TableMaker};
+use limehollow::routing::{Table, TableBuilder};
 use limehollow_edge::admin::{DumpRequest, Readiness};
 use limehollow_edge::follow::Batch;
 use limehollow_wire::peer::News;
@@ -46,7 +46,7 @@
     zone: ZoneName,
     incarnation: Incarnation,
     replay: Replay,
-    maker: TableMaker,
+    maker: TableBuilder,
     table: Arc<ArcSwap<Table>>,
     desk: Arc<Desk>,
     metrics: Metrics,
@@ -75,7 +75,7 @@
             zone,
             incarnation,
             replay: Replay::default(),
-            maker: TableMaker::default(),
+            maker: TableBuilder::default(),
             table,
             desk,
             metrics,
@@ -192,7 +192,7 @@
             .union(&self.heard_leaving)
             .cloned()
             .collect();
-        let table = self.maker.make(self.replay.fleet(), &leaving);
+        let table = self.maker.build(self.replay.fleet(), &leaving);
         self.table.store(Arc::new(table));
         let maker = &self.maker;
         self.desk
--- a/crates/limehollow/src/routing.rs
+++ b/crates/limehollow/src/routing.rs
@@ -73,17 +73,17 @@
 
 /// Makes tables, and gives each incarnation of an endpoint one key for as long as it lives.
 #[derive(Debug, Default)]
-pub struct TableMaker {
+pub struct TableBuilder {
     arena: SlotMap<EndpointKey, VmName>,
     keys: BTreeMap<VmName, (Incarnation, EndpointKey)>,
 }
 
-impl TableMaker {
+impl TableBuilder {
     /// Makes the table of a fleet's state.
     ///
     /// `leaving` names endpoints that are known to leave before the log says so; they get no new
     /// work.
-    pub fn make(&mut self, fleet: &Fleet, leaving: &BTreeSet<VmName>) -> Table {
+    pub fn build(&mut self, fleet: &Fleet, leaving: &BTreeSet<VmName>) -> Table {
         self.update_keys(fleet);
         let takes_work = |name: &VmName| !leaving.contains(name);
         let offset = fleet.next_offset().0;
--- a/crates/limehollow/tests/routing.rs
+++ b/crates/limehollow/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use limehollow::id::EndpointKey;
 use limehollow::load::{Ending, LoadReport, Loads};
-use limehollow::routing::{RouteQuery, Table, TableMaker, pick};
+use limehollow::routing::{RouteQuery, Table, TableBuilder, pick};
 use limehollow::verdict::Failure;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -264,9 +264,9 @@
 
 #[test]
 fn table_leaving_gets_nothing() {
-    let mut maker = TableMaker::default();
+    let mut maker = TableBuilder::default();
     let f = fleet(&ENGINES);
-    let table = maker.make(&f, &BTreeSet::from(["a1".into()]));
+    let table = maker.build(&f, &BTreeSet::from(["a1".into()]));
     let route = table.model("m").expect("it is in force");
     assert!(route.targets.iter().all(|t| t.name.as_str() != "a1"));
     assert_eq!(route.targets.len(), 3);
@@ -275,12 +275,12 @@
 #[test]
 fn table_keys_are_stable() {
     // The load of an endpoint is kept over a change of the table, and dropped with its incarnation.
-    let mut maker = TableMaker::default();
+    let mut maker = TableBuilder::default();
     let f = fleet(&ENGINES);
-    let first = maker.make(&f, &BTreeSet::new());
-    let second = maker.make(&f, &BTreeSet::new());
+    let first = maker.build(&f, &BTreeSet::new());
+    let second = maker.build(&f, &BTreeSet::new());
     assert_eq!(key(&first, "a1"), key(&second, "a1"));
-    let fewer = maker.make(&fleet(&ENGINES[1..]), &BTreeSet::new());
+    let fewer = maker.build(&fleet(&ENGINES[1..]), &BTreeSet::new());
     assert!(!maker.contains(key(&first, "a1")));
     assert_eq!(key(&fewer, "a2"), key(&first, "a2"));
 }
--- a/crates/limehollow/tests/traffic/mod.rs
+++ b/crates/limehollow/tests/traffic/mod.rs
@@ -10,7 +10,7 @@
 use limehollow::record::{
     Answer, AnswerKind, EndpointKind, EndpointSeen, LeaseTaken, Record, Resident,
 };
-use limehollow::routing::{Table, TableMaker};
+use limehollow::routing::{Table, TableBuilder};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -104,9 +104,9 @@
     f
 }
 
-pub fn table(engines: &[(&str, &str)]) -> (Table, TableMaker) {
-    let mut maker = TableMaker::default();
-    let table = maker.make(&fleet(engines), &BTreeSet::new());
+pub fn table(engines: &[(&str, &str)]) -> (Table, TableBuilder) {
+    let mut maker = TableBuilder::default();
+    let table = maker.build(&fleet(engines), &BTreeSet::new());
     (table, maker)
 }
 
