--- a/crates/limehollow-controller/src/gossip.rs
+++ b/crates/limehollow-controller/src/gossip.rs
@@ -1,6 +1,6 @@
 //! What a controller has heard of its zone's peers and endpoints, and passes on.
 
-use limehollow::demand::WORD_LIFE;
+use limehollow::demand::DEMAND_REPORT_LIFETIME;
 use limehollow::id::{Incarnation, Offset, VmName, ZoneName};
 use limehollow::listing::{Listed, ListedKind, Observation};
 use limehollow::load::{LoadReport, REPORT_LIFE};
@@ -154,7 +154,7 @@
     pub fn tick(&mut self, now: Instant, next: Offset) {
         self.members.tick(now, next);
         self.unmet
-            .retain(|_, (_, said)| now.duration_since(*said) < WORD_LIFE);
+            .retain(|_, (_, said)| now.duration_since(*said) < DEMAND_REPORT_LIFETIME);
         self.loads
             .retain(|_, h| now.duration_since(h.taken) < REPORT_LIFE);
     }
--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -13,7 +13,7 @@
 /// How long demand has to be unmet before a replica is added, and again before the next one.
 pub const UP_AFTER: Duration = Duration::from_secs(20);
 /// How long a word of a gateway counts.
-pub const WORD_LIFE: Duration = Duration::from_secs(10);
+pub const DEMAND_REPORT_LIFETIME: Duration = Duration::from_secs(10);
 /// For how long a new replica is expected to be of use, in seconds.
 const HORIZON: f64 = 600.0;
 /// What a move is worth in requests, at equal weights.
@@ -51,7 +51,7 @@
     #[must_use]
     pub fn unmet(&self, now: Instant, model: &str) -> f64 {
         let words = self.words.get(model).into_iter().flat_map(BTreeMap::values);
-        let fresh = words.filter(|w| now.duration_since(w.heard) < WORD_LIFE);
+        let fresh = words.filter(|w| now.duration_since(w.heard) < DEMAND_REPORT_LIFETIME);
         fresh.map(|w| w.per_second).sum()
     }
 
@@ -67,7 +67,7 @@
                 continue;
             }
             let row = self.unmet_since.entry(m.name.clone()).or_insert((now, now));
-            if now >= row.1 + WORD_LIFE {
+            if now >= row.1 + DEMAND_REPORT_LIFETIME {
                 row.0 = now;
             }
             row.1 = now;
@@ -87,7 +87,7 @@
 
     fn forget(&mut self, now: Instant) {
         for words in self.words.values_mut() {
-            words.retain(|_, w| now.duration_since(w.heard) < WORD_LIFE);
+            words.retain(|_, w| now.duration_since(w.heard) < DEMAND_REPORT_LIFETIME);
         }
         self.words.retain(|_, w| !w.is_empty());
     }
