--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -39,7 +39,7 @@
 
 impl Demand {
     /// Takes in how many requests a second a gateway had to refuse.
-    pub fn hear(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
+    pub fn report(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
         let word = Word {
             per_second: per_second.max(0.0),
             heard: now,
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -262,7 +262,7 @@
         model: ModelName,
         per_second: f64,
     ) {
-        self.demand.hear(now, from, model, per_second);
+        self.demand.report(now, from, model, per_second);
     }
 
     /// Handles the result of sending an order.
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -34,7 +34,7 @@
     let mut d = Demand::default();
     let mut wanted = false;
     for s in 0..=for_secs {
-        d.hear(start + secs(s), "vm".into(), "m".into(), per_second);
+        d.report(start + secs(s), "vm".into(), "m".into(), per_second);
         wanted = !d.wanting(start + secs(s), &i).is_empty();
     }
     wanted
@@ -66,7 +66,7 @@
     let (i, start) = (weighed(LANTERWIJK), Instant::now());
     let mut d = Demand::default();
     for s in (0..15).chain(30..45) {
-        d.hear(start + secs(s), "vm".into(), "m".into(), 50.0);
+        d.report(start + secs(s), "vm".into(), "m".into(), 50.0);
         assert!(d.wanting(start + secs(s), &i).is_empty(), "after {s} s");
     }
 }
@@ -78,7 +78,7 @@
     let mut added = 0;
     for s in 0..=60 {
         let now = start + secs(s);
-        d.hear(now, "vm".into(), "m".into(), 5.0);
+        d.report(now, "vm".into(), "m".into(), 5.0);
         for m in d.wanting(now, &i) {
             d.acted(now, &m);
             added += 1;
@@ -93,8 +93,8 @@
     i.models[1].priority = Priority::High;
     let (start, mut d) = (Instant::now(), Demand::default());
     for s in 0..=20 {
-        d.hear(start + secs(s), "vm".into(), "m".into(), 50.0);
-        d.hear(start + secs(s), "vm".into(), "n".into(), 1.0);
+        d.report(start + secs(s), "vm".into(), "m".into(), 50.0);
+        d.report(start + secs(s), "vm".into(), "n".into(), 1.0);
         d.wanting(start + secs(s), &i);
     }
     let order: Vec<String> = d
