--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -56,7 +56,7 @@
     }
 
     /// Gives the models for which another replica is worth its moves, the most worthwhile first.
-    pub fn wanting(&mut self, now: Instant, intent: &Intent) -> Vec<ModelName> {
+    pub fn models_to_scale_up(&mut self, now: Instant, intent: &Intent) -> Vec<ModelName> {
         self.forget(now);
         let mut out = Vec::new();
         for m in &intent.models {
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -300,7 +300,7 @@
         let at = self.log_time(now, fleet);
         let intent = fleet.confirmed_intent().map(|p| &p.intent);
         let wanting = intent
-            .map(|i| self.demand.wanting(now, i))
+            .map(|i| self.demand.models_to_scale_up(now, i))
             .unwrap_or_default();
         let added = self.next_orders(now, at, fleet, epoch, &wanting, &mut out);
         for model in added {
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -35,7 +35,7 @@
     let mut wanted = false;
     for s in 0..=for_secs {
         d.report(start + secs(s), "vm".into(), "m".into(), per_second);
-        wanted = !d.wanting(start + secs(s), &i).is_empty();
+        wanted = !d.models_to_scale_up(start + secs(s), &i).is_empty();
     }
     wanted
 }
@@ -67,7 +67,10 @@
     let mut d = Demand::default();
     for s in (0..15).chain(30..45) {
         d.report(start + secs(s), "vm".into(), "m".into(), 50.0);
-        assert!(d.wanting(start + secs(s), &i).is_empty(), "after {s} s");
+        assert!(
+            d.models_to_scale_up(start + secs(s), &i).is_empty(),
+            "after {s} s"
+        );
     }
 }
 
@@ -79,7 +82,7 @@
     for s in 0..=60 {
         let now = start + secs(s);
         d.report(now, "vm".into(), "m".into(), 5.0);
-        for m in d.wanting(now, &i) {
+        for m in d.models_to_scale_up(now, &i) {
             d.acted(now, &m);
             added += 1;
         }
@@ -95,10 +98,10 @@
     for s in 0..=20 {
         d.report(start + secs(s), "vm".into(), "m".into(), 50.0);
         d.report(start + secs(s), "vm".into(), "n".into(), 1.0);
-        d.wanting(start + secs(s), &i);
+        d.models_to_scale_up(start + secs(s), &i);
     }
     let order: Vec<String> = d
-        .wanting(start + secs(20), &i)
+        .models_to_scale_up(start + secs(20), &i)
         .iter()
         .map(ToString::to_string)
         .collect();
