--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -81,7 +81,7 @@
     }
 
     /// Notes that a replica is on its way: the demand is given time to show whether it is enough.
-    pub fn acted(&mut self, now: Instant, model: &ModelName) {
+    pub fn record_scale_up(&mut self, now: Instant, model: &ModelName) {
         self.unmet_since.insert(model.clone(), (now, now));
     }
 
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -304,7 +304,7 @@
             .unwrap_or_default();
         let added = self.next_orders(now, at, fleet, epoch, &wanting, &mut out);
         for model in added {
-            self.demand.acted(now, &model);
+            self.demand.record_scale_up(now, &model);
         }
         out
     }
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -83,7 +83,7 @@
         let now = start + secs(s);
         d.report(now, "vm".into(), "m".into(), 5.0);
         for m in d.models_to_scale_up(now, &i) {
-            d.acted(now, &m);
+            d.record_scale_up(now, &m);
             added += 1;
         }
     }
