--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -125,7 +125,7 @@
                     let from = VmName::from(w.from.as_str());
                     view.balance.receive(now, from.clone(), taken);
                     for key in w.unreached.iter().filter_map(|i| view.roster.find(i)) {
-                        view.balance.told_unreached(now, key);
+                        view.balance.report_unreachable(now, key);
                     }
                     view.taken.insert(from.clone(), (now, w.taken));
                     view.demand.insert(from, (now, w.demand));
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -640,9 +640,9 @@
     }
 
     /// Takes in that a VM of this zone can't reach an endpoint.
-    pub fn told_unreached(&mut self, now: Instant, key: EndpointKey) {
+    pub fn report_unreachable(&mut self, now: Instant, key: EndpointKey) {
         if let Some(row) = self.row(now, key) {
-            row.health.told_unreached(now);
+            row.health.report_unreachable(now);
         }
     }
 
--- a/crates/limehollow/src/health.rs
+++ b/crates/limehollow/src/health.rs
@@ -95,7 +95,7 @@
     }
 
     /// Notes that a VM of this zone can't reach the endpoint.
-    pub(crate) fn told_unreached(&mut self, now: Instant) {
+    pub(crate) fn report_unreachable(&mut self, now: Instant) {
         let lately = |t: Instant| now.duration_since(t) < ANSWERED_LATELY;
         if self.is_ejected(now) || self.is_unproven || self.answered.is_some_and(lately) {
             return;
--- a/crates/limehollow/tests/balance.rs
+++ b/crates/limehollow/tests/balance.rs
@@ -373,7 +373,7 @@
     advance(Duration::from_secs(6)).await;
     assert!(!b.is_lost(Instant::now(), keys[0]), "it is still listed");
     // What another VM of the zone can't reach is left as well, unless it has just answered here.
-    b.told_unreached(Instant::now(), keys[1]);
+    b.report_unreachable(Instant::now(), keys[1]);
     assert!(b.is_ejected(Instant::now(), keys[1]));
     send(
         &mut b,
@@ -383,7 +383,7 @@
             first: Duration::from_millis(30),
         },
     );
-    b.told_unreached(Instant::now(), keys[0]);
+    b.report_unreachable(Instant::now(), keys[0]);
     assert!(!b.is_ejected(Instant::now(), keys[0]));
 }
 
