--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -134,7 +134,7 @@
             let e = view.roster.get(key).filter(is_usable)?;
             let now = site.now();
             let is_closed = view.balance.backpressure.opens_in(now, key).is_some();
-            let takes = view.balance.takes(now, key, e) && !is_closed;
+            let takes = view.balance.accepts(now, key, e) && !is_closed;
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
         Place::Crowded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -310,7 +310,7 @@
             }
             let expected_ms = self.expected_ms(now, key, e, bounds.kv_tokens, job);
             let c = Candidate {
-                is_ejected: !self.takes(now, key, e),
+                is_ejected: !self.accepts(now, key, e),
                 is_crowded: self.reading_ms(now, key, job, bounds.reading_ms) > bounds.reading_ms,
                 is_limited: self.backpressure.rate(key).is_some(),
                 beside: if job.isolated {
@@ -450,9 +450,9 @@
 
     /// Tells whether an endpoint may get a request now, as far as its failures and its zone go.
     #[must_use]
-    pub fn takes(&self, now: Instant, key: EndpointKey, e: &Endpoint) -> bool {
+    pub fn accepts(&self, now: Instant, key: EndpointKey, e: &Endpoint) -> bool {
         let row = self.rows.get(key);
-        let alone = row.is_none_or(|r| r.health.takes(now, r.own.requests));
+        let alone = row.is_none_or(|r| r.health.accepts(now, r.own.requests));
         alone && !self.ways.is_cut(now, &e.zone)
     }
 
--- a/crates/limehollow/src/health.rs
+++ b/crates/limehollow/src/health.rs
@@ -60,7 +60,7 @@
     }
 
     /// Tells whether the endpoint takes another request: while it is unproven, one at a time.
-    pub(crate) fn takes(&self, now: Instant, in_flight: f32) -> bool {
+    pub(crate) fn accepts(&self, now: Instant, in_flight: f32) -> bool {
         !self.is_ejected(now) && (!self.is_unproven || in_flight < 1.0)
     }
 
