--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -168,7 +168,7 @@
                     }
                     continue;
                 }
-                Choice::Crowded(expected_ms) => (Reason::Busy, self.come_back(expected_ms)),
+                Choice::Overloaded(expected_ms) => (Reason::Busy, self.come_back(expected_ms)),
                 Choice::Resting(wait) => (Reason::AtLimit, wait),
                 Choice::NoEndpoint => (Reason::NoEndpoint, LATER),
                 Choice::NoModel => (Reason::NoModel, self.model_comes()),
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -137,7 +137,7 @@
             let takes = view.balance.accepts(now, key, e) && !is_closed;
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
-        Place::Crowded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
+        Place::Crowded(expected_ms) => Some(Choice::Overloaded(f64::from(expected_ms))),
         // What the keeper doesn't know of, this VM may.
         Place::Nowhere => None,
     }
@@ -193,7 +193,7 @@
                 Place::At(e.instance.clone(), expected_ms as f32)
             })
         }
-        Choice::Crowded(expected_ms) => Place::Crowded(expected_ms as f32),
+        Choice::Overloaded(expected_ms) => Place::Crowded(expected_ms as f32),
         // What rests for this VM may not for the one that asks.
         Choice::Resting(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
             Place::Nowhere
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -203,7 +203,7 @@
     To(EndpointKey, f64),
     /// All that hold what it needs have so many prompts to read that their streams would pause; the first
     /// result would be expected after so many ms.
-    Crowded(f64),
+    Overloaded(f64),
     /// All that hold what it needs want nothing of this VM now; the first of them does after so long.
     Resting(Duration),
     /// No endpoint of the service takes work.
@@ -227,7 +227,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     is_ejected: bool,
-    is_crowded: bool,
+    is_overloaded: bool,
     /// Whether it names a limit: it is left alone while others have room.
     is_limited: bool,
     /// Requests that end with the endpoint, where that matters. A request that crashed endpoints took 6.5 streams along in
@@ -240,7 +240,15 @@
 
 impl Candidate {
     fn is_better(self, other: Self) -> bool {
-        let rank = |c: Self| (c.is_ejected, c.is_crowded, c.is_limited, c.beside, c.cost);
+        let rank = |c: Self| {
+            (
+                c.is_ejected,
+                c.is_overloaded,
+                c.is_limited,
+                c.beside,
+                c.cost,
+            )
+        };
         rank(self) < rank(other)
     }
 }
@@ -311,7 +319,8 @@
             let expected_ms = self.expected_ms(now, key, e, bounds.kv_tokens, job);
             let c = Candidate {
                 is_ejected: !self.accepts(now, key, e),
-                is_crowded: self.reading_ms(now, key, job, bounds.reading_ms) > bounds.reading_ms,
+                is_overloaded: self.reading_ms(now, key, job, bounds.reading_ms)
+                    > bounds.reading_ms,
                 is_limited: self.backpressure.rate(key).is_some(),
                 beside: if job.isolated {
                     self.requests(key)
@@ -327,7 +336,7 @@
             }
         }
         match best {
-            Some(c) if c.is_crowded => Choice::Crowded(c.expected_ms),
+            Some(c) if c.is_overloaded => Choice::Overloaded(c.expected_ms),
             Some(c) => Choice::To(c.key, c.expected_ms),
             None => rest.map_or(found, Choice::Resting),
         }
--- a/crates/limehollow/tests/balance.rs
+++ b/crates/limehollow/tests/balance.rs
@@ -262,7 +262,7 @@
         &job(model("big-0"), 2001, 0),
         0.0,
     );
-    assert!(matches!(pick(&b, 2002), Choice::Crowded(_)));
+    assert!(matches!(pick(&b, 2002), Choice::Overloaded(_)));
     b.first(Instant::now(), &mut sent);
     assert_eq!(to(pick(&b, 2002)), keys[0]);
 }
