--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -169,7 +169,7 @@
                     continue;
                 }
                 Choice::Overloaded(expected_ms) => (Reason::Busy, self.come_back(expected_ms)),
-                Choice::Resting(wait) => (Reason::AtLimit, wait),
+                Choice::BackingOff(wait) => (Reason::AtLimit, wait),
                 Choice::NoEndpoint => (Reason::NoEndpoint, LATER),
                 Choice::NoModel => (Reason::NoModel, self.model_comes()),
                 Choice::NoAdapter => (Reason::NoAdapter, ADAPTER_SOON),
@@ -219,7 +219,7 @@
             return SOON;
         }
         match place::look(self.site, self.catalog, &self.job) {
-            Choice::Resting(wait) => spread(wait),
+            Choice::BackingOff(wait) => spread(wait),
             _ => SOON,
         }
     }
--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -195,7 +195,7 @@
         }
         Choice::Overloaded(expected_ms) => Place::Crowded(expected_ms as f32),
         // What rests for this VM may not for the one that asks.
-        Choice::Resting(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
+        Choice::BackingOff(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
             Place::Nowhere
         }
     };
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -205,7 +205,7 @@
     /// result would be expected after so many ms.
     Overloaded(f64),
     /// All that hold what it needs want nothing of this VM now; the first of them does after so long.
-    Resting(Duration),
+    BackingOff(Duration),
     /// No endpoint of the service takes work.
     NoEndpoint,
     /// No endpoint that takes work holds the model.
@@ -338,7 +338,7 @@
         match best {
             Some(c) if c.is_overloaded => Choice::Overloaded(c.expected_ms),
             Some(c) => Choice::To(c.key, c.expected_ms),
-            None => rest.map_or(found, Choice::Resting),
+            None => rest.map_or(found, Choice::BackingOff),
         }
     }
 
