--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -105,7 +105,7 @@
             return;
         }
         let now = self.site.now();
-        self.site.view().balance.first(now, sent);
+        self.site.view().balance.record_first_result(now, sent);
         self.site.capacity_freed.notify_waiters();
         let since = now.duration_since(self.arrived);
         self.site.metrics.first_byte.observe(since.as_secs_f64());
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -530,7 +530,7 @@
     }
 
     /// Notes that a first result came.
-    pub fn first(&mut self, now: Instant, sent: &mut Sent) {
+    pub fn record_first_result(&mut self, now: Instant, sent: &mut Sent) {
         if sent.first.is_some() {
             return;
         }
--- a/crates/limehollow/tests/balance.rs
+++ b/crates/limehollow/tests/balance.rs
@@ -209,7 +209,7 @@
         let j = job(model("big-0"), 100, 0);
         let mut sent = b.start(Instant::now(), listed(&r, keys[0]), &j, 40.0);
         advance(Duration::from_millis(800)).await;
-        b.first(Instant::now(), &mut sent);
+        b.record_first_result(Instant::now(), &mut sent);
         let first = Duration::from_millis(800);
         b.finish(Instant::now(), sent, Ending::Whole { first });
     }
@@ -263,7 +263,7 @@
         0.0,
     );
     assert!(matches!(pick(&b, 2002), Choice::Overloaded(_)));
-    b.first(Instant::now(), &mut sent);
+    b.record_first_result(Instant::now(), &mut sent);
     assert_eq!(to(pick(&b, 2002)), keys[0]);
 }
 
@@ -314,7 +314,7 @@
         // 5 us a token; each fourth waits for something else.
         let ms = if i % 4 == 3 { 900 } else { 25 };
         advance(Duration::from_millis(ms)).await;
-        b.first(Instant::now(), &mut sent);
+        b.record_first_result(Instant::now(), &mut sent);
         b.finish(Instant::now(), sent, Ending::Cancelled);
     }
     let ms = b.demand_ms(&j, 8);
@@ -342,7 +342,7 @@
         },
     );
     let mut sent = b.start(Instant::now(), listed(&r, keys[4]), &j, 30.0);
-    b.first(Instant::now(), &mut sent);
+    b.record_first_result(Instant::now(), &mut sent);
     b.finish(Instant::now(), sent, Ending::Cancelled);
     assert_eq!(to(choose(&b, &r, &j)), keys[4]);
 }
@@ -358,7 +358,7 @@
     assert_eq!(to(choose(&b, &r, &j)), keys[0], "old failures fade");
     let mut probe = b.start(Instant::now(), listed(&r, keys[0]), &j, 30.0);
     assert_eq!(to(choose(&b, &r, &j)), keys[1], "one at a time");
-    b.first(Instant::now(), &mut probe);
+    b.record_first_result(Instant::now(), &mut probe);
     assert_eq!(to(choose(&b, &r, &j)), keys[0], "it has answered");
 }
 
--- a/crates/limehollow/tests/isolation.rs
+++ b/crates/limehollow/tests/isolation.rs
@@ -187,7 +187,7 @@
         }
         for r in &mut self.running {
             if now.duration_since(r.began) >= READING {
-                self.balance.first(now, &mut r.sent);
+                self.balance.record_first_result(now, &mut r.sent);
             }
         }
         let done = |r: &Run| now.duration_since(r.began) >= STREAM;
--- a/crates/limehollow/tests/keeping_places.rs
+++ b/crates/limehollow/tests/keeping_places.rs
@@ -141,7 +141,7 @@
                 let i = e.prompts.pop_front().expect("it was read");
                 let s = &mut self.streams[i];
                 let sent = s.sent.as_mut().expect("it runs");
-                self.vms[s.vm].first(self.now, sent);
+                self.vms[s.vm].record_first_result(self.now, sent);
                 e.running.push(i);
             }
             for i in &e.running {
