--- a/crates/limehollow-node/src/place.rs
+++ b/crates/limehollow-node/src/place.rs
@@ -167,7 +167,7 @@
     let mut view = site.view();
     let choice = choose_here(now, &view, catalog, job, tried);
     if let Choice::To(key, _) = choice {
-        view.balance.promise(now, key, job);
+        view.balance.record_assignment(now, key, job);
     }
     choice
 }
--- a/crates/limehollow/src/promised.rs
+++ b/crates/limehollow/src/assignments.rs
@@ -8,14 +8,14 @@
 /// Others tell what they have there a quarter of a second late, in which an endpoint reads several prompts. Who promised the
 /// places knows at once, and reckons when each is free again by what requests take on average.
 #[derive(Debug, Default)]
-pub(crate) struct Promised {
+pub(crate) struct Assignments {
     /// Until when the endpoint reads the prompts that it was promised.
     read_until: Option<Instant>,
     /// When each request is expected to end.
     ends: Vec<Instant>,
 }
 
-impl Promised {
+impl Assignments {
     /// Notes a request whose prompt takes `work` to read, and that is expected to be held for `held`.
     pub(crate) fn add(&mut self, now: Instant, work: Duration, held: Duration) {
         self.ends.retain(|t| *t > now);
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -5,13 +5,13 @@
 //! it, at the pace that was measured, and the places that are taken. The endpoint that is soonest gets
 //! the request; another zone, failures and recent refusals count as time (`docs/design/system.md`).
 
+use crate::assignments::Assignments;
 use crate::backpressure::Backpressure;
 use crate::health::{Health, ZoneWays};
 use crate::id::{EndpointKey, ServiceName, VmName, ZoneName};
 use crate::job::{Job, RANKS};
 use crate::load::Ending;
 use crate::pace::Pace;
-use crate::promised::Promised;
 use crate::roster::{Endpoint, Roster, holds};
 use crate::verdict::Failure;
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
     health: Health,
     refused_at: Option<Instant>,
     /// What this gateway promised there to others.
-    promised: Promised,
+    assigned: Assignments,
     remembered: HashMap<u64, Instant>,
 }
 
@@ -110,7 +110,7 @@
             slowness: (1.0, now),
             health: Health::default(),
             refused_at: None,
-            promised: Promised::default(),
+            assigned: Assignments::default(),
             remembered: HashMap::new(),
         }
     }
@@ -120,9 +120,9 @@
     fn taken(&self, now: Instant) -> Taken {
         let mut taken = self.own;
         taken.add(&self.others);
-        taken.requests = taken.requests.max(self.promised.requests(now));
+        taken.requests = taken.requests.max(self.assigned.requests(now));
         let said: f32 = taken.ahead_ms.iter().sum();
-        taken.ahead_ms[0] += (self.promised.ahead_ms(now) - said).max(0.0);
+        taken.ahead_ms[0] += (self.assigned.ahead_ms(now) - said).max(0.0);
         taken
     }
 
@@ -515,7 +515,7 @@
     }
 
     /// Notes that another gateway sends a job to an endpoint, or this one does, by this one's choice.
-    pub fn promise(&mut self, now: Instant, key: EndpointKey, job: &Job) {
+    pub fn record_assignment(&mut self, now: Instant, key: EndpointKey, job: &Job) {
         let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or_default();
         let work_ms = self.work_ms(key, job);
         let pace = job.model.as_ref().and_then(|m| self.paces.get(&m.model));
@@ -523,7 +523,7 @@
         let held = pace.map(|p| p.held_ms(job.max_output)).or(held);
         if let Some(row) = self.row(now, key) {
             let work = ms(work_ms * row.slowness(now));
-            row.promised
+            row.assigned
                 .add(now, work, ms(held.unwrap_or(DEFAULT_HELD_MS)));
             row.remember(now, job);
         }
--- a/crates/limehollow/src/lib.rs
+++ b/crates/limehollow/src/lib.rs
@@ -38,6 +38,7 @@
 
 pub mod admission;
 pub mod arrivals;
+mod assignments;
 pub mod backpressure;
 pub mod balance;
 pub mod candidacy;
@@ -71,7 +72,6 @@
 pub mod peers;
 pub mod placement;
 pub mod plan;
-mod promised;
 pub mod quarantine;
 pub mod quota;
 pub mod rebalance;
--- a/crates/limehollow/tests/keeping_places.rs
+++ b/crates/limehollow/tests/keeping_places.rs
@@ -94,7 +94,7 @@
         match self.vms[at].choose(self.now, &self.roster, bounds, j, &[]) {
             Choice::To(key, _) => {
                 if chooses == Chooses::OneKeeper {
-                    self.vms[at].promise(self.now, key, j);
+                    self.vms[at].record_assignment(self.now, key, j);
                 }
                 Some(key)
             }
@@ -234,7 +234,7 @@
         let Choice::To(key, _) = b.choose(now, &r, bounds, &j, &[]) else {
             panic!("two endpoints hold the model");
         };
-        b.promise(now, key, &j);
+        b.record_assignment(now, key, &j);
         *got.entry(key).or_default() += 1;
     }
     assert_eq!(got.len(), keys.len());
