--- a/crates/limehollow-bench/src/bin/slopes.rs
+++ b/crates/limehollow-bench/src/bin/slopes.rs
@@ -7,7 +7,7 @@
 use limehollow::claim::{ClaimRecord, Claimant, Claims};
 use limehollow::id::{LogTime, Offset, VmName};
 use limehollow::intent::{Intent, Priority};
-use limehollow::load::{Ending, LoadReport};
+use limehollow::load::{AttemptOutcome, LoadReport};
 use limehollow::membership::Membership;
 use limehollow::order::{Driver, Rules};
 use limehollow::placement;
@@ -226,7 +226,7 @@
                 a.finish(
                     now,
                     k,
-                    Ending::Whole {
+                    AttemptOutcome::Completed {
                         first: Duration::from_millis(100),
                     },
                 );
--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -11,7 +11,7 @@
 };
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
-use limehollow::load::{Ending, LoadReport};
+use limehollow::load::{AttemptOutcome, LoadReport};
 use limehollow::routing::{Table, TableBuilder};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -247,7 +247,7 @@
                 self.result.attained += u32::from(now <= job.deadline);
                 let first = job.began.map_or(Duration::ZERO, |b| b - job.dispatched);
                 let g = &mut self.gateways[job.gateway];
-                g.finish(now, self.keys[e], Ending::Whole { first });
+                g.finish(now, self.keys[e], AttemptOutcome::Completed { first });
                 let m = Subject::Model("model-000".into());
                 g.record_answer(&m, now - job.dispatched, Duration::ZERO, 1);
             }
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/desk.rs
@@ -5,7 +5,7 @@
     Admission, AdmissionDecision, AdmissionRequest, QueueDecision, Reason, Refusal, Ticket,
 };
 use limehollow::id::{EndpointKey, ZoneName};
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::routing::Table;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -37,12 +37,12 @@
     desk: Arc<Desk>,
     /// The endpoint.
     pub key: EndpointKey,
-    ending: Option<Ending>,
+    ending: Option<AttemptOutcome>,
 }
 
 impl Slot {
     /// Says how the request ended, and gives the right back.
-    pub fn finish(mut self, ending: Ending) {
+    pub fn finish(mut self, ending: AttemptOutcome) {
         self.ending = Some(ending);
     }
 }
@@ -50,7 +50,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         // Whoever drops it without a word did so because the caller left.
-        let ending = self.ending.unwrap_or(Ending::Cancelled);
+        let ending = self.ending.unwrap_or(AttemptOutcome::Cancelled);
         self.desk
             .lock()
             .admission
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use limehollow::admission::{AdmissionRequest, Reason, Refusal, Subject};
 use limehollow::intent::Priority;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::retry::{Attempts, Next};
 use limehollow::routing::{Route, Target};
 use limehollow::verdict::{Failure, Verdict};
@@ -265,7 +265,7 @@
                 let first = h.at - sent_at;
                 match whole(h, course.ask.terms.deadline).await {
                     Ok((status, headers, body)) => {
-                        slot.finish(Ending::Whole { first });
+                        slot.finish(AttemptOutcome::Completed { first });
                         let w = Whole {
                             status,
                             headers,
@@ -279,7 +279,7 @@
             Err(f) => f,
         };
         course.offer.failed.push(slot.key);
-        slot.finish(Ending::Failed(failure));
+        slot.finish(AttemptOutcome::Failed(failure));
         let now = Instant::now();
         let next = shared
             .budget()
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -11,7 +11,7 @@
 use crate::shared::Shared;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::Stream;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::retry::Next;
 use limehollow::verdict::Failure;
 use smol_str::SmolStr;
@@ -136,7 +136,7 @@
         loop {
             if let Some(slot) = self.slot.take() {
                 self.course.offer.failed.push(slot.key);
-                slot.finish(Ending::Failed(failure));
+                slot.finish(AttemptOutcome::Failed(failure));
             }
             self.buf.clear();
             let now = Instant::now();
@@ -152,7 +152,7 @@
             let (slot, target) = self.course.admit(&self.shared).await?;
             if target.version != self.version {
                 // Another version's words don't continue this one's.
-                slot.finish(Ending::Cancelled);
+                slot.finish(AttemptOutcome::Cancelled);
                 return Err(gave_up(failure, self.course.attempts.verdict));
             }
             self.shared.metrics.retries.inc();
@@ -176,7 +176,7 @@
         let now = Instant::now();
         let first = self.first.unwrap_or(now);
         if let Some(slot) = self.slot.take() {
-            slot.finish(Ending::Whole {
+            slot.finish(AttemptOutcome::Completed {
                 first: first - self.sent_at,
             });
         }
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -21,7 +21,7 @@
 use limehollow::fingerprint::{Fingerprint, OriginTag};
 use limehollow::id::EndpointKey;
 use limehollow::job::Job;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::quarantine::Standing;
 use limehollow::quota::MAX_TRANSFER_TIME;
 use limehollow::retry::Repeat;
@@ -298,7 +298,7 @@
             self.pass,
         );
         let Ok(sent) = self.site.clock.timeout_at(self.expiry, answer).await else {
-            running.end(Ending::Failed(Failure::Deadline), "expired");
+            running.end(AttemptOutcome::Failed(Failure::Deadline), "expired");
             return Ok(self.expired());
         };
         let answer = sent.inspect_err(|f| self.note_failure(&mut running, &c.to, f))?;
@@ -315,7 +315,7 @@
             .timeout_at(self.expiry, body.collect())
             .await
         else {
-            running.end(Ending::Failed(Failure::Deadline), "expired");
+            running.end(AttemptOutcome::Failed(Failure::Deadline), "expired");
             return Ok(self.expired());
         };
         let body = collected.map_err(|e| {
@@ -326,7 +326,10 @@
         self.site.pool.put_later(answer.connection, None);
         if head.status.is_server_error() {
             running.ran_to_end();
-            running.end(Ending::Failed(Failure::ServerError), "the endpoint failed");
+            running.end(
+                AttemptOutcome::Failed(Failure::ServerError),
+                "the endpoint failed",
+            );
             let f = Failed::broken(smol_str::format_smolstr!("status {}", head.status.as_u16()));
             let again =
                 self.rule.repeat == Repeat::Allowed && self.reached + 1 < self.rule.max_attempts;
@@ -359,7 +362,7 @@
         if f.shows == Shows::ConnectionEnded {
             running.cut_off();
         }
-        running.end(Ending::Failed(f.failure), "failed");
+        running.end(AttemptOutcome::Failed(f.failure), "failed");
         tracing::info!(
             id = %self.ask.id,
             verdict = %f.verdict,
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -13,7 +13,7 @@
 use limehollow::crash_watch::CutOff;
 use limehollow::fingerprint::{Fingerprint, OriginTag};
 use limehollow::instance::Instance;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::verdict::Failure;
 use smol_str::SmolStr;
 use snafu::Snafu;
@@ -133,11 +133,11 @@
         self.ran_to_end();
         let first = self.sent.as_ref().and_then(Sent::first);
         let first = first.unwrap_or_else(|| self.elapsed());
-        self.end(Ending::Whole { first }, "whole");
+        self.end(AttemptOutcome::Completed { first }, "whole");
     }
 
     /// Ends the account.
-    pub fn end(&mut self, ending: Ending, what: &'static str) {
+    pub fn end(&mut self, ending: AttemptOutcome, what: &'static str) {
         let Some(sent) = self.sent.take() else { return };
         let first_ms = sent.first().map(millis);
         self.site
@@ -165,7 +165,7 @@
     fn drop(&mut self) {
         if self.sent.is_some() {
             Metrics::count(&self.site.metrics.requests, "caller left");
-            self.end(Ending::Cancelled, "caller left");
+            self.end(AttemptOutcome::Cancelled, "caller left");
         }
     }
 }
@@ -220,7 +220,7 @@
         if self.connection.take().is_some() {
             Metrics::count(&self.running.site.metrics.requests, what);
         }
-        self.running.end(Ending::Failed(failure), what);
+        self.running.end(AttemptOutcome::Failed(failure), what);
     }
 }
 
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -7,7 +7,7 @@
 use crate::id::EndpointKey;
 use crate::id::ZoneName;
 use crate::intent::Priority;
-use crate::load::{Ending, LoadReport, Loads, ServiceTime};
+use crate::load::{AttemptOutcome, LoadReport, Loads, ServiceTime};
 use crate::routing::{Route, RouteQuery, Table, pick};
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, VecDeque};
@@ -363,7 +363,7 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: Ending) {
+    pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: AttemptOutcome) {
         self.loads.finish(now, key, ending);
     }
 
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -10,7 +10,7 @@
 use crate::health::{Health, ZoneWays};
 use crate::id::{EndpointKey, ServiceName, VmName, ZoneName};
 use crate::job::{Job, RANKS};
-use crate::load::Ending;
+use crate::load::AttemptOutcome;
 use crate::pace::Pace;
 use crate::roster::{Endpoint, Roster, holds};
 use crate::verdict::Failure;
@@ -568,12 +568,12 @@
     }
 
     /// Notes how a request ended.
-    pub fn finish(&mut self, now: Instant, mut sent: Sent, ending: Ending) {
+    pub fn finish(&mut self, now: Instant, mut sent: Sent, ending: AttemptOutcome) {
         self.read(&mut sent);
         if sent.trial {
             self.backpressure.end_trial(now, sent.key, false);
         }
-        if matches!(ending, Ending::Whole { .. }) {
+        if matches!(ending, AttemptOutcome::Completed { .. }) {
             let held = now.duration_since(sent.at).as_secs_f64() * 1000.0;
             let v = self.held_ms.entry(sent.service.clone()).or_insert(held);
             *v += (held - *v) * HELD_SMOOTHING;
@@ -588,20 +588,20 @@
         row.own.requests = (row.own.requests - 1.0).max(0.0);
         row.own.tokens = (row.own.tokens - sent.tokens).max(0.0);
         match ending {
-            Ending::Whole { .. } => {
+            AttemptOutcome::Completed { .. } => {
                 row.health.answer(now);
                 row.health.succeed();
             }
-            Ending::Cancelled => {}
-            Ending::Failed(Failure::Refused) => {
+            AttemptOutcome::Cancelled => {}
+            AttemptOutcome::Failed(Failure::Refused) => {
                 row.health.answer(now);
                 row.refused_at = Some(now);
             }
-            Ending::Failed(Failure::Connect) => {
+            AttemptOutcome::Failed(Failure::Connect) => {
                 row.health.fail(now, true);
                 self.ways.fail(now, &sent.zone, sent.key);
             }
-            Ending::Failed(Failure::Broken | Failure::ServerError | Failure::Deadline) => {
+            AttemptOutcome::Failed(Failure::Broken | Failure::ServerError | Failure::Deadline) => {
                 row.health.fail(now, false);
             }
         }
--- a/crates/limehollow/src/load.rs
+++ b/crates/limehollow/src/load.rs
@@ -42,9 +42,9 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The whole answer came; the time to its first byte and in all.
-    Whole {
+    Completed {
         /// The time to the first byte.
         first: Duration,
     },
@@ -217,16 +217,16 @@
     }
 
     /// Notes how a request ended.
-    pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: Ending) {
+    pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: AttemptOutcome) {
         let l = self.row(key);
         l.outstanding = l.outstanding.saturating_sub(1);
         match ending {
-            Ending::Whole { first } => l.succeed(now, first),
-            Ending::Cancelled => {}
-            Ending::Failed(Failure::Refused) => l.cut(now, FIRST_EJECTION / 10),
+            AttemptOutcome::Completed { first } => l.succeed(now, first),
+            AttemptOutcome::Cancelled => {}
+            AttemptOutcome::Failed(Failure::Refused) => l.cut(now, FIRST_EJECTION / 10),
             // A deadline may be the caller's own haste, so it is no evidence against the endpoint.
-            Ending::Failed(Failure::Deadline) => l.cut(now, FIRST_EJECTION),
-            Ending::Failed(Failure::Connect | Failure::Broken | Failure::ServerError) => {
+            AttemptOutcome::Failed(Failure::Deadline) => l.cut(now, FIRST_EJECTION),
+            AttemptOutcome::Failed(Failure::Connect | Failure::Broken | Failure::ServerError) => {
                 l.fail(now);
             }
         }
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -7,7 +7,7 @@
 };
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::routing::Table;
 use limehollow::verdict::Failure;
 use std::time::Duration;
@@ -68,7 +68,7 @@
     }
 
     fn finish_one(&mut self) -> Vec<(Ticket, QueueDecision)> {
-        let ending = Ending::Whole {
+        let ending = AttemptOutcome::Completed {
             first: Duration::from_millis(100),
         };
         self.admission.finish(self.t, self.key, ending);
@@ -189,7 +189,7 @@
     let mut g = Gate::new();
     g.fill();
     let waiting = ticket(g.offer("c", 60_000));
-    let ending = Ending::Whole {
+    let ending = AttemptOutcome::Completed {
         first: Duration::from_millis(100),
     };
     g.admission.finish(g.t, g.key, ending);
@@ -279,7 +279,7 @@
         for (end, deadline) in ended {
             good += u32::from(end <= deadline);
             g.admission
-                .finish(t, g.key, Ending::Whole { first: service });
+                .finish(t, g.key, AttemptOutcome::Completed { first: service });
             g.admission.record_answer(&m, service, Duration::ZERO, 1);
         }
         due += 8.0 * share * tick.as_secs_f64();
@@ -324,11 +324,11 @@
     g.fill();
     let waiting = ticket(g.offer("c", 60_000));
     g.admission
-        .finish(g.t, g.key, Ending::Failed(Failure::Refused));
+        .finish(g.t, g.key, AttemptOutcome::Failed(Failure::Refused));
     let turns = g.admission.poll(g.t, &g.table);
     // A refusal lowers the limit below eight, so the slot isn't filled again at once.
     assert_eq!(turns, []);
-    g.admission.finish(g.t, g.key, Ending::Cancelled);
+    g.admission.finish(g.t, g.key, AttemptOutcome::Cancelled);
     assert_eq!(
         g.admission.poll(g.t, &g.table),
         [(waiting, QueueDecision::Start(g.key))]
--- a/crates/limehollow/tests/balance.rs
+++ b/crates/limehollow/tests/balance.rs
@@ -5,7 +5,7 @@
 use limehollow::balance::{Balance, Bounds, Choice, MESSAGE_LIFE, Taken};
 use limehollow::id::EndpointKey;
 use limehollow::job::Job;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::roster::{Endpoint, Roster};
 use limehollow::verdict::Failure;
 use site::{adapter, holding, job, model, roster};
@@ -42,7 +42,7 @@
 }
 
 /// Ends a request as soon as it is sent.
-fn send(b: &mut Balance, r: &Roster, key: EndpointKey, ending: Ending) {
+fn send(b: &mut Balance, r: &Roster, key: EndpointKey, ending: AttemptOutcome) {
     let sent = b.start(
         Instant::now(),
         listed(r, key),
@@ -149,7 +149,7 @@
     let j = job(model("big-0"), 5000, 0);
     let before = expected(choose(&b, &r, &j));
     let sent = b.start(Instant::now(), listed(&r, keys[0]), &j, before);
-    b.finish(Instant::now(), sent, Ending::Cancelled);
+    b.finish(Instant::now(), sent, AttemptOutcome::Cancelled);
     let after = expected(choose(&b, &r, &j));
     assert!(after + 200.0 < before, "{before} {after}");
     let other = Job::generation(site::llm(), adapter("big-0", "a1"), 0, (5000, 100), &[]);
@@ -160,7 +160,12 @@
 async fn refused_counts_as_time_and_fades() {
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
-    send(&mut b, &r, keys[0], Ending::Failed(Failure::Refused));
+    send(
+        &mut b,
+        &r,
+        keys[0],
+        AttemptOutcome::Failed(Failure::Refused),
+    );
     let j = job(model("big-0"), 100, 0);
     assert!(expected(choose(&b, &r, &j)) > 1000.0);
     advance(Duration::from_secs(3)).await;
@@ -172,19 +177,24 @@
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
-    send(&mut b, &r, keys[0], Ending::Failed(Failure::Broken));
+    send(&mut b, &r, keys[0], AttemptOutcome::Failed(Failure::Broken));
     assert!(
         !b.is_ejected(Instant::now(), keys[0]),
         "one failure is none"
     );
-    send(&mut b, &r, keys[0], Ending::Failed(Failure::ServerError));
+    send(
+        &mut b,
+        &r,
+        keys[0],
+        AttemptOutcome::Failed(Failure::ServerError),
+    );
     assert!(b.is_ejected(Instant::now(), keys[0]));
     assert_eq!(to(choose(&b, &r, &j)), keys[1]);
     advance(Duration::from_secs(2)).await;
     assert!(!b.is_ejected(Instant::now(), keys[0]));
     let first = Duration::from_millis(50);
     for _ in 0..20 {
-        send(&mut b, &r, keys[0], Ending::Whole { first });
+        send(&mut b, &r, keys[0], AttemptOutcome::Completed { first });
     }
     assert_eq!(to(choose(&b, &r, &j)), keys[0]);
 }
@@ -194,7 +204,7 @@
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     for k in &keys {
-        send(&mut b, &r, *k, Ending::Failed(Failure::Connect));
+        send(&mut b, &r, *k, AttemptOutcome::Failed(Failure::Connect));
         assert!(b.is_ejected(Instant::now(), *k));
     }
     let c = choose(&b, &r, &job(model("big-0"), 100, 0));
@@ -211,7 +221,7 @@
         advance(Duration::from_millis(800)).await;
         b.record_first_result(Instant::now(), &mut sent);
         let first = Duration::from_millis(800);
-        b.finish(Instant::now(), sent, Ending::Whole { first });
+        b.finish(Instant::now(), sent, AttemptOutcome::Completed { first });
     }
     assert_eq!(to(choose(&b, &r, &job(model("big-0"), 100, 0))), keys[1]);
     // Nothing is sent there, so nothing would be learnt: the slowness is forgotten.
@@ -233,7 +243,7 @@
     b.forget(keys[0]);
     r.apply_entry(Instant::now(), site::endpoint(0, "a", holding(&["big-0"])));
     // Its request ends after another endpoint has its place in the arena.
-    b.finish(Instant::now(), sent, Ending::Cancelled);
+    b.finish(Instant::now(), sent, AttemptOutcome::Cancelled);
     assert_eq!(b.own().count(), 0);
 }
 
@@ -296,7 +306,7 @@
         let sent = b.start(Instant::now(), listed(&r, keys[0]), &j, 30.0);
         advance(Duration::from_millis(1600)).await;
         let first = Duration::from_millis(30);
-        b.finish(Instant::now(), sent, Ending::Whole { first });
+        b.finish(Instant::now(), sent, AttemptOutcome::Completed { first });
     }
     // 1.6 s of one of eight places are 200 ms of the endpoint; half the output holds it half as long.
     assert!((b.demand_ms(&j, 8) - 200.0).abs() < 1.0);
@@ -315,7 +325,7 @@
         let ms = if i % 4 == 3 { 900 } else { 25 };
         advance(Duration::from_millis(ms)).await;
         b.record_first_result(Instant::now(), &mut sent);
-        b.finish(Instant::now(), sent, Ending::Cancelled);
+        b.finish(Instant::now(), sent, AttemptOutcome::Cancelled);
     }
     let ms = b.demand_ms(&j, 8);
     assert!((3.5..7.5).contains(&ms), "{ms}");
@@ -327,7 +337,7 @@
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
     for k in [keys[0], keys[2]] {
-        send(&mut b, &r, k, Ending::Failed(Failure::Connect));
+        send(&mut b, &r, k, AttemptOutcome::Failed(Failure::Connect));
     }
     // The third of the zone was never tried.
     assert!(keys[1..].contains(&to(choose(&b, &r, &j))));
@@ -337,13 +347,13 @@
         &mut b,
         &r,
         keys[4],
-        Ending::Whole {
+        AttemptOutcome::Completed {
             first: Duration::from_millis(30),
         },
     );
     let mut sent = b.start(Instant::now(), listed(&r, keys[4]), &j, 30.0);
     b.record_first_result(Instant::now(), &mut sent);
-    b.finish(Instant::now(), sent, Ending::Cancelled);
+    b.finish(Instant::now(), sent, AttemptOutcome::Cancelled);
     assert_eq!(to(choose(&b, &r, &j)), keys[4]);
 }
 
@@ -352,7 +362,12 @@
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
-    send(&mut b, &r, keys[0], Ending::Failed(Failure::Connect));
+    send(
+        &mut b,
+        &r,
+        keys[0],
+        AttemptOutcome::Failed(Failure::Connect),
+    );
     advance(Duration::from_secs(6)).await;
     b.receive(Instant::now(), "vm-2".into(), busy(keys[1]));
     assert_eq!(to(choose(&b, &r, &j)), keys[0], "old failures fade");
@@ -366,7 +381,12 @@
 async fn lost_between_some_tries_and_the_list() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
-    send(&mut b, &r, keys[0], Ending::Failed(Failure::Connect));
+    send(
+        &mut b,
+        &r,
+        keys[0],
+        AttemptOutcome::Failed(Failure::Connect),
+    );
     assert!(!b.is_lost(Instant::now(), keys[0]), "one try says little");
     advance(Duration::from_millis(700)).await;
     assert!(b.is_lost(Instant::now(), keys[0]));
@@ -379,7 +399,7 @@
         &mut b,
         &r,
         keys[0],
-        Ending::Whole {
+        AttemptOutcome::Completed {
             first: Duration::from_millis(30),
         },
     );
--- a/crates/limehollow/tests/isolation.rs
+++ b/crates/limehollow/tests/isolation.rs
@@ -10,7 +10,7 @@
 use limehollow::crash_record::{StartTag, Timing};
 use limehollow::fingerprint::{Fingerprint, Identity};
 use limehollow::id::EndpointKey;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::quarantine::{Quarantine, Standing};
 use limehollow::roster::Roster;
 use limehollow::verdict::Failure;
@@ -157,7 +157,7 @@
             let start = StartTag::from(&e.instance);
             self.quarantine
                 .record_crash(self.now, (r.request, origin), start, timing);
-            let ending = Ending::Failed(Failure::Broken);
+            let ending = AttemptOutcome::Failed(Failure::Broken);
             self.balance.finish(self.now, r.sent, ending);
             if !r.is_cause {
                 self.harm.taken_along += 1;
@@ -197,7 +197,8 @@
         self.running = stay;
         for r in whole {
             let first = READING;
-            self.balance.finish(now, r.sent, Ending::Whole { first });
+            self.balance
+                .finish(now, r.sent, AttemptOutcome::Completed { first });
             self.quarantine.record_answer(now, r.request);
         }
         if self.rng.random_bool(STREAMS_PER_STEP) {
--- a/crates/limehollow/tests/keeping_places.rs
+++ b/crates/limehollow/tests/keeping_places.rs
@@ -9,7 +9,7 @@
 use limehollow::balance::{Balance, Bounds, Choice, Sent, Taken};
 use limehollow::id::{EndpointKey, VmName};
 use limehollow::job::{Job, PromptPart};
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::roster::Roster;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -150,7 +150,7 @@
                 if s.left.is_zero() {
                     let sent = s.sent.take().expect("it runs");
                     let first = sent.first().unwrap_or_default();
-                    self.vms[s.vm].finish(self.now, sent, Ending::Whole { first });
+                    self.vms[s.vm].finish(self.now, sent, AttemptOutcome::Completed { first });
                 }
             }
             let streams = &self.streams;
--- a/crates/limehollow/tests/routing.rs
+++ b/crates/limehollow/tests/routing.rs
@@ -3,7 +3,7 @@
 mod traffic;
 
 use limehollow::id::EndpointKey;
-use limehollow::load::{Ending, LoadReport, Loads};
+use limehollow::load::{AttemptOutcome, LoadReport, Loads};
 use limehollow::routing::{RouteQuery, Table, TableBuilder, pick};
 use limehollow::verdict::Failure;
 use std::collections::{BTreeMap, BTreeSet};
@@ -103,7 +103,7 @@
 
 fn fail(loads: &mut Loads, t: Instant, k: EndpointKey, failure: Failure) {
     loads.start(k);
-    loads.finish(t, k, Ending::Failed(failure));
+    loads.finish(t, k, AttemptOutcome::Failed(failure));
 }
 
 #[test]
@@ -127,7 +127,7 @@
         (0..50).all(|a| pick_for(later, &table, &loads, a, &[]) != Some(bad)),
         "one at a time"
     );
-    loads.finish(later, bad, Ending::Whole { first: ms(10) });
+    loads.finish(later, bad, AttemptOutcome::Completed { first: ms(10) });
     assert!(loads.has_room(bad));
     // A failure on probation ejects for longer, at once.
     for _ in 0..3 {
@@ -181,7 +181,7 @@
     );
     assert!((loads.estimate(t, k) - 5.0).abs() < 0.01);
     // Ours are known at once; the others' fade as the report ages.
-    loads.finish(t, k, Ending::Whole { first: ms(10) });
+    loads.finish(t, k, AttemptOutcome::Completed { first: ms(10) });
     assert!((loads.estimate(t, k) - 4.0).abs() < 0.01);
     assert!((loads.estimate(t + ms(2_500), k) - 2.5).abs() < 0.01);
     assert!((loads.estimate(t + ms(6_000), k) - 1.0).abs() < 0.01);
@@ -244,7 +244,11 @@
             loads.start(k);
         }
         for _ in 0..8 {
-            loads.finish(t + ms(i * 10), k, Ending::Whole { first: ms(10) });
+            loads.finish(
+                t + ms(i * 10),
+                k,
+                AttemptOutcome::Completed { first: ms(10) },
+            );
         }
     }
     let high = loads.slots(t, k);
@@ -255,7 +259,7 @@
         loads.finish(
             t + ms(3_000 + i * 1_000),
             k,
-            Ending::Whole { first: ms(900) },
+            AttemptOutcome::Completed { first: ms(900) },
         );
     }
     let low = loads.slots(t, k);
