--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -126,7 +126,7 @@
     });
     let d = Dispatch {
         job: job(service, rule, pass.as_ref().and_then(|p| p.rank), &ask)
-            .at_home(site.settings.load().zones_in_regions(&homes)),
+            .restricted_to(site.settings.load().zones_in_regions(&homes)),
         pass: pass.as_ref(),
         taken,
         site: &site,
--- a/crates/limehollow/src/job.rs
+++ b/crates/limehollow/src/job.rs
@@ -87,7 +87,7 @@
 
     /// Gives the same job, which may run in these zones only; in any where none is named.
     #[must_use]
-    pub fn at_home(self, zones: Option<BTreeSet<ZoneName>>) -> Self {
+    pub fn restricted_to(self, zones: Option<BTreeSet<ZoneName>>) -> Self {
         Self { zones, ..self }
     }
 
