--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -308,7 +308,7 @@
             };
             match action {
                 Action::Unload => book.note_dropped(&subject, counted),
-                Action::Load => book.note_loaded(&subject, counted),
+                Action::Load => book.record_load(&subject, counted),
             }
             if action == Action::Load && counted {
                 sleep(ADAPTER_LOAD).await;
--- a/crates/limehollow/src/order_book.rs
+++ b/crates/limehollow/src/order_book.rs
@@ -81,14 +81,14 @@
 
     /// Notes that an adapter was dropped or loaded. `counted` tells whether the endpoint counted the
     /// order, which it doesn't where there was nothing to do.
-    pub fn note_loaded(&mut self, m: &ModelRef, counted: bool) {
+    pub fn record_load(&mut self, m: &ModelRef, counted: bool) {
         self.orders_taken += u64::from(counted);
         if let (Some(h), Some(a)) = (self.holdings.get_mut(&m.model), &m.adapter) {
             h.adapters.insert(a.clone());
         }
     }
 
-    /// Notes that an adapter was dropped, as [`OrderBook::note_loaded`] does.
+    /// Notes that an adapter was dropped, as [`OrderBook::record_load`] does.
     pub fn note_dropped(&mut self, m: &ModelRef, counted: bool) {
         self.orders_taken += u64::from(counted);
         self.withdraw(m);
--- a/crates/limehollow/tests/order_book.rs
+++ b/crates/limehollow/tests/order_book.rs
@@ -83,8 +83,8 @@
     b.withdraw(&adapter("big-0", "a1"));
     assert_eq!(b.orders_taken, 5, "it is only about to go");
     b.note_dropped(&adapter("big-0", "a1"), true);
-    b.note_loaded(&adapter("big-0", "a2"), true);
-    b.note_loaded(&adapter("big-0", "a2"), false);
+    b.record_load(&adapter("big-0", "a2"), true);
+    b.record_load(&adapter("big-0", "a2"), false);
     assert_eq!(b.orders_taken, 7);
     assert_eq!(b.holdings, with(&["a2"]).holdings);
 }
