--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -307,7 +307,7 @@
                 OrderReply::Refused(_) => return None,
             };
             match action {
-                Action::Unload => book.note_dropped(&subject, counted),
+                Action::Unload => book.record_unload(&subject, counted),
                 Action::Load => book.record_load(&subject, counted),
             }
             if action == Action::Load && counted {
--- a/crates/limehollow/src/order_book.rs
+++ b/crates/limehollow/src/order_book.rs
@@ -89,7 +89,7 @@
     }
 
     /// Notes that an adapter was dropped, as [`OrderBook::record_load`] does.
-    pub fn note_dropped(&mut self, m: &ModelRef, counted: bool) {
+    pub fn record_unload(&mut self, m: &ModelRef, counted: bool) {
         self.orders_taken += u64::from(counted);
         self.withdraw(m);
     }
--- a/crates/limehollow/tests/order_book.rs
+++ b/crates/limehollow/tests/order_book.rs
@@ -82,7 +82,7 @@
     let mut b = OrderBook::from(with(&["a1"]));
     b.withdraw(&adapter("big-0", "a1"));
     assert_eq!(b.orders_taken, 5, "it is only about to go");
-    b.note_dropped(&adapter("big-0", "a1"), true);
+    b.record_unload(&adapter("big-0", "a1"), true);
     b.record_load(&adapter("big-0", "a2"), true);
     b.record_load(&adapter("big-0", "a2"), false);
     assert_eq!(b.orders_taken, 7);
