--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -356,7 +356,7 @@
 
     fn note_late(&self, subject: &ModelRef, expected: u64) {
         let mut late = self.late.lock().unwrap_or_else(PoisonError::into_inner);
-        late.note(self.site.now(), &self.to.instance, subject, expected);
+        late.record(self.site.now(), &self.to.instance, subject, expected);
     }
 
     /// Tells this VM and the others that the endpoint has started again, and what it holds.
--- a/crates/limehollow/src/late_loads.rs
+++ b/crates/limehollow/src/late_loads.rs
@@ -87,7 +87,7 @@
 /// Commands.
 impl LateLoads {
     /// Notes a load that was ordered of this start of an endpoint, and not answered.
-    pub fn note(&mut self, now: Instant, to: &Instance, subject: &ModelRef, expected: u64) {
+    pub fn record(&mut self, now: Instant, to: &Instance, subject: &ModelRef, expected: u64) {
         self.rows.retain(|_, loads| {
             loads.retain(|l| now.duration_since(l.ordered) < LATE_FOR);
             !loads.is_empty()
--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -230,7 +230,7 @@
 async fn reserve_for_a_load_that_may_come_late() {
     let spec = engine(4);
     let mut late = LateLoads::default();
-    late.note(Instant::now(), &instance(FIRST), &model("big-0"), 1);
+    late.record(Instant::now(), &instance(FIRST), &model("big-0"), 1);
     let reserved = |late: &LateLoads, b: &OrderBook, loading: &str| {
         let r = late.reserve(Instant::now(), "i-0", b, &model(loading), &spec);
         r.megabytes > 0.0
@@ -297,7 +297,7 @@
     for expected in 0..4 {
         for arrives_at in 0..6 {
             let mut late = LateLoads::default();
-            late.note(Instant::now(), &instance(FIRST), &model("big-5"), expected);
+            late.record(Instant::now(), &instance(FIRST), &model("big-5"), expected);
             let (mut orders, mut there): (u64, Vec<&str>) = (0, Vec::new());
             for name in ["big-0", "big-1", "big-2", "big-3"] {
                 if orders == arrives_at && orders == expected && !there.contains(&"big-5") {
