--- a/crates/limehollow/src/late_loads.rs
+++ b/crates/limehollow/src/late_loads.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// For how long an order without an answer may still be carried out: the users' endpoints do so 2 to 12 seconds later.
-pub const LATE_FOR: Duration = Duration::from_secs(15);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 
 /// What has to stay free on an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -59,7 +59,7 @@
         let mut reserve = Reserve::default();
         for l in self.rows.get(id).into_iter().flatten() {
             let is_due =
-                now.duration_since(l.ordered) < LATE_FOR && l.expected >= book.orders_taken;
+                now.duration_since(l.ordered) < MAX_ORDER_DELAY && l.expected >= book.orders_taken;
             // Counts rise within a start, so one below the order's shows a later start too.
             let is_other_start =
                 reporting.compare(&l.to) == Start::Later || book.orders_taken < l.expected;
@@ -89,7 +89,7 @@
     /// Notes a load that was ordered of this start of an endpoint, and not answered.
     pub fn record(&mut self, now: Instant, to: &Instance, subject: &ModelRef, expected: u64) {
         self.rows.retain(|_, loads| {
-            loads.retain(|l| now.duration_since(l.ordered) < LATE_FOR);
+            loads.retain(|l| now.duration_since(l.ordered) < MAX_ORDER_DELAY);
             !loads.is_empty()
         });
         self.rows.entry(to.id.clone()).or_default().push(LateLoad {
--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use limehollow::instance::{Instance, StartCheck};
-use limehollow::late_loads::{LATE_FOR, LateLoads, Reserve};
+use limehollow::late_loads::{LateLoads, MAX_ORDER_DELAY, Reserve};
 use limehollow::order_book::OrderBook;
 use limehollow::rebalance::{ModelMove, Step};
 use limehollow::roster::{Endpoint, HoldingsReport, REPORT_PREFERRED, Roster};
@@ -282,7 +282,7 @@
     ] {
         assert_eq!(reserved(&late, &b, loading), expected, "{why}");
     }
-    advance(LATE_FOR).await;
+    advance(MAX_ORDER_DELAY).await;
     assert!(
         !reserved(&late, &book(SECOND, 0, &[]), "big-1"),
         "it can't come any more"
