--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -135,7 +135,7 @@
             let engine = self.catalog.engine(&self.job.service);
             let places = engine.map_or(1, |e| e.slots);
             let work = view.balance.demand_ms(&self.job, places);
-            view.arrivals.note(now, m, work);
+            view.arrivals.record(now, m, work);
         }
         let window = view.repeats.entry(self.job.service.clone()).or_default();
         window.request(now);
--- a/crates/limehollow/src/arrivals.rs
+++ b/crates/limehollow/src/arrivals.rs
@@ -32,7 +32,7 @@
 
 impl Arrivals {
     /// Notes a request that asks for so much work, in any unit that all gateways share.
-    pub fn note(&mut self, now: Instant, wanted: &ModelRef, work: f64) {
+    pub fn record(&mut self, now: Instant, wanted: &ModelRef, work: f64) {
         let more = work / TIME_CONSTANT.as_secs_f64();
         match self.rates.get_mut(wanted) {
             Some(r) => {
