--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -282,7 +282,7 @@
 
     /// Notes that an endpoint has run a request to its end. Gives whether anything spoke against it, which it does no more.
     pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
-        self.answers.note(now, request);
+        self.answers.record(now, request);
         self.clear(now, request)
     }
 
--- a/crates/limehollow/src/recent_answers.rs
+++ b/crates/limehollow/src/recent_answers.rs
@@ -28,7 +28,7 @@
     }
 
     /// Notes that a request ran to its end.
-    pub(crate) fn note(&mut self, now: Instant, request: Fingerprint) {
+    pub(crate) fn record(&mut self, now: Instant, request: Fingerprint) {
         self.queue.push_back((now, request));
         self.last.insert(request, now);
         while let Some((at, oldest)) = self.queue.front().copied() {
