--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -333,7 +333,7 @@
             let f = Failed::broken(smol_str::format_smolstr!("status {}", head.status.as_u16()));
             let again =
                 self.rule.repeat == Repeat::Allowed && self.reached + 1 < self.rule.max_attempts;
-            if again && self.with_budget(RepeatWindow::has) {
+            if again && self.with_budget(RepeatWindow::has_budget) {
                 return Err(f);
             }
         } else {
@@ -395,7 +395,7 @@
 
     /// Takes a repeat from the budget, if it has one.
     fn site_takes_repeat(&self) -> bool {
-        let taken = self.with_budget(RepeatWindow::take);
+        let taken = self.with_budget(RepeatWindow::acquire);
         if taken {
             self.site.metrics.repeats.inc();
         }
--- a/crates/limehollow/src/retry_window.rs
+++ b/crates/limehollow/src/retry_window.rs
@@ -37,8 +37,8 @@
     }
 
     /// Takes one repeat from the budget, if it has one. `gateways` is how many share the slack.
-    pub fn take(&mut self, now: Instant, rules: RepeatAllowance, gateways: usize) -> bool {
-        let has = self.has(now, rules, gateways);
+    pub fn acquire(&mut self, now: Instant, rules: RepeatAllowance, gateways: usize) -> bool {
+        let has = self.has_budget(now, rules, gateways);
         if has {
             self.repeats.push_back(now);
         }
@@ -46,7 +46,7 @@
     }
 
     /// Tells whether the budget has a repeat left.
-    pub fn has(&mut self, now: Instant, rules: RepeatAllowance, gateways: usize) -> bool {
+    pub fn has_budget(&mut self, now: Instant, rules: RepeatAllowance, gateways: usize) -> bool {
         self.forget(now, rules.window);
         #[expect(
             clippy::cast_precision_loss,
--- a/crates/limehollow/tests/retry_window.rs
+++ b/crates/limehollow/tests/retry_window.rs
@@ -12,7 +12,7 @@
 
 fn take_all(w: &mut RepeatWindow, gateways: usize) -> usize {
     (0..1000)
-        .take_while(|_| w.take(Instant::now(), RULES, gateways))
+        .take_while(|_| w.acquire(Instant::now(), RULES, gateways))
         .count()
 }
 
@@ -49,8 +49,8 @@
 #[test]
 fn has_takes_nothing() {
     let mut w = RepeatWindow::default();
-    assert!(w.has(Instant::now(), RULES, 1));
+    assert!(w.has_budget(Instant::now(), RULES, 1));
     let taken = take_all(&mut w, 1);
-    assert!(!w.has(Instant::now(), RULES, 1));
+    assert!(!w.has_budget(Instant::now(), RULES, 1));
     assert_eq!(take_all(&mut RepeatWindow::default(), 1), taken);
 }
