--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -11,7 +11,7 @@
 use limehollow::admission::{AdmissionRequest, Reason, Refusal, Subject};
 use limehollow::intent::Priority;
 use limehollow::load::AttemptOutcome;
-use limehollow::retry::{Attempts, Next};
+use limehollow::retry::{Attempts, RetryDecision};
 use limehollow::routing::{Route, Target};
 use limehollow::verdict::{Failure, Verdict};
 use poem::http::{HeaderMap, StatusCode};
@@ -285,8 +285,8 @@
             .budget()
             .after(now, &mut course.attempts, failure, rand::random());
         match next {
-            Next::Retry(pause) => sleep(pause).await,
-            Next::GiveUp(verdict) => {
+            RetryDecision::Retry(pause) => sleep(pause).await,
+            RetryDecision::GiveUp(verdict) => {
                 return give_instead(shared, &course, claim, &gave_up(failure, verdict));
             }
         }
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -12,7 +12,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::Stream;
 use limehollow::load::AttemptOutcome;
-use limehollow::retry::Next;
+use limehollow::retry::RetryDecision;
 use limehollow::verdict::Failure;
 use smol_str::SmolStr;
 use std::sync::Arc;
@@ -146,8 +146,8 @@
                 .budget()
                 .after(now, attempts, failure, rand::random());
             match next {
-                Next::GiveUp(verdict) => return Err(gave_up(failure, verdict)),
-                Next::Retry(pause) => sleep(pause).await,
+                RetryDecision::GiveUp(verdict) => return Err(gave_up(failure, verdict)),
+                RetryDecision::Retry(pause) => sleep(pause).await,
             }
             let (slot, target) = self.course.admit(&self.shared).await?;
             if target.version != self.version {
--- a/crates/limehollow/src/retry.rs
+++ b/crates/limehollow/src/retry.rs
@@ -44,7 +44,7 @@
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Try another endpoint after this pause.
     Retry(Duration),
     /// Give the caller this verdict now.
@@ -86,16 +86,22 @@
     /// Decides what follows a failed attempt.
     ///
     /// `jitter` is a random number from 0 to 1 that spreads the pauses of many gateways.
-    pub fn after(&mut self, now: Instant, a: &mut Attempts, failure: Failure, jitter: f64) -> Next {
+    pub fn after(
+        &mut self,
+        now: Instant,
+        a: &mut Attempts,
+        failure: Failure,
+        jitter: f64,
+    ) -> RetryDecision {
         a.made += 1;
         a.verdict = a.verdict.and(failure.verdict());
         let pause = BASE_PAUSE.mul_f64(f64::from(1_u32 << a.made.min(6)) * (0.5 + jitter / 2.0));
         let may_repeat = a.repeat == Repeat::Allowed || a.verdict == Verdict::NotRun;
         let in_time = failure != Failure::Deadline && now + pause < a.deadline;
         if !may_repeat || !in_time || a.made >= MAX_ATTEMPTS || self.balance < RETRY_COST {
-            return Next::GiveUp(a.verdict);
+            return RetryDecision::GiveUp(a.verdict);
         }
         self.balance -= RETRY_COST;
-        Next::Retry(pause)
+        RetryDecision::Retry(pause)
     }
 }
--- a/crates/limehollow/tests/retry.rs
+++ b/crates/limehollow/tests/retry.rs
@@ -1,6 +1,6 @@
 //! What follows a failed attempt.
 
-use limehollow::retry::{Attempts, MAX_ATTEMPTS, Next, Repeat, RetryBudget};
+use limehollow::retry::{Attempts, MAX_ATTEMPTS, Repeat, RetryBudget, RetryDecision};
 use limehollow::verdict::{Failure, Verdict};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -9,8 +9,8 @@
     Attempts::new(repeat, Instant::now() + Duration::from_secs(10))
 }
 
-fn is_retry(n: Next) -> bool {
-    matches!(n, Next::Retry(_))
+fn is_retry(n: RetryDecision) -> bool {
+    matches!(n, RetryDecision::Retry(_))
 }
 
 #[test]
@@ -53,7 +53,7 @@
     assert!(is_retry(b.after(now, &mut a, Failure::Refused, 0.5)));
     assert_eq!(
         b.after(now, &mut a, Failure::Broken, 0.5),
-        Next::GiveUp(Verdict::MayHaveRun)
+        RetryDecision::GiveUp(Verdict::MayHaveRun)
     );
 }
 
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut a = Attempts::new(Repeat::Allowed, now + Duration::from_millis(5));
     let next = RetryBudget::default().after(now, &mut a, Failure::Connect, 0.5);
-    assert_eq!(next, Next::GiveUp(Verdict::NotRun));
+    assert_eq!(next, RetryDecision::GiveUp(Verdict::NotRun));
 }
 
 #[test]
