--- a/crates/limehollow-bench/src/bin/slopes.rs
+++ b/crates/limehollow-bench/src/bin/slopes.rs
@@ -3,16 +3,16 @@
 //! Bytes are exact and the same on every machine. Times are of this machine; each is also given as a
 //! ratio to hashing one kibibyte in the same run, which carries over better.
 
-use limehollow::admission::{Admission, Offer, Subject};
+use limehollow::admission::{Admission, AdmissionRequest, Subject};
 use limehollow::claim::{ClaimRecord, Claimant, Claims};
 use limehollow::id::{LogTime, Offset, VmName};
 use limehollow::intent::{Intent, Priority};
-use limehollow::load::{Ending, LoadReport};
+use limehollow::load::{AttemptOutcome, LoadReport};
 use limehollow::membership::Membership;
 use limehollow::order::{Driver, Rules};
 use limehollow::placement;
 use limehollow::record::Record;
-use limehollow::routing::TableMaker;
+use limehollow::routing::TableBuilder;
 use limehollow_bench::fleets::{
     LANTERWIJK, Size, Story, VREDNOST, WHOLE, ZONE, intent, loads, zone_members,
 };
@@ -107,7 +107,7 @@
         );
         unit.row(
             "one table of routes",
-            time(|| TableMaker::default().make(&s.fleet, &BTreeSet::new())),
+            time(|| TableBuilder::default().build(&s.fleet, &BTreeSet::new())),
         );
         let mut driver = Driver::new("zone-0".into(), "entry-0-0".into(), 1, Rules::default());
         let now = Instant::now();
@@ -205,10 +205,10 @@
 fn traffic(unit: &Unit) {
     println!("# a gateway's decisions");
     let s = Story::serving(&ZONE);
-    let table = TableMaker::default().make(&s.fleet, &BTreeSet::new());
+    let table = TableBuilder::default().build(&s.fleet, &BTreeSet::new());
     let now = Instant::now();
     let mut a = Admission::new("zone-0".into());
-    let offer = Offer {
+    let offer = AdmissionRequest {
         subject: Subject::Model("model-000".into()),
         caller: "caller".into(),
         priority: Priority::Normal,
@@ -220,11 +220,13 @@
     unit.row(
         "one request admitted, routed and ended",
         time(|| {
-            if let limehollow::admission::Admit::Start(k) = a.offer(now, &table, offer.clone()) {
+            if let limehollow::admission::AdmissionDecision::Start(k) =
+                a.admit(now, &table, offer.clone())
+            {
                 a.finish(
                     now,
                     k,
-                    Ending::Whole {
+                    AttemptOutcome::Completed {
                         first: Duration::from_millis(100),
                     },
                 );
--- a/crates/limehollow-bench/src/routing.rs
+++ b/crates/limehollow-bench/src/routing.rs
@@ -6,11 +6,13 @@
 )]
 
 use crate::fleets::{Size, Story};
-use limehollow::admission::{Admission, Admit, Offer, Subject, Ticket, Turn};
+use limehollow::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, QueueDecision, Subject, Ticket,
+};
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
-use limehollow::load::{Ending, LoadReport};
-use limehollow::routing::{Table, TableMaker};
+use limehollow::load::{AttemptOutcome, LoadReport};
+use limehollow::routing::{Table, TableBuilder};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -95,7 +97,7 @@
         replicas: 8,
     };
     let story = Story::serving(&size);
-    let table = TableMaker::default().make(&story.fleet, &BTreeSet::new());
+    let table = TableBuilder::default().build(&story.fleet, &BTreeSet::new());
     let keys: Vec<EndpointKey> = table
         .model("model-000")
         .map(|r| r.targets.iter().map(|t| t.key).collect())
@@ -142,8 +144,8 @@
                         continue;
                     };
                     match turn {
-                        Turn::Start(key) => self.put(now, key, job),
-                        Turn::Refuse(_) => self.refuse(now, &job),
+                        QueueDecision::Start(key) => self.put(now, key, job),
+                        QueueDecision::Refuse(_) => self.refuse(now, &job),
                     }
                 }
             }
@@ -191,7 +193,7 @@
                 self.engines[e].1.push_back(job);
             }
             Policy::Own => {
-                let offer = Offer {
+                let offer = AdmissionRequest {
                     subject: Subject::Model("model-000".into()),
                     caller: "caller".into(),
                     priority: Priority::Normal,
@@ -200,12 +202,12 @@
                     affinity: u64::from(self.result.requests),
                     failed: Vec::new(),
                 };
-                match self.gateways[gateway].offer(now, &self.table, offer) {
-                    Admit::Start(key) => self.put(now, key, job),
-                    Admit::Wait(ticket) => {
+                match self.gateways[gateway].admit(now, &self.table, offer) {
+                    AdmissionDecision::Start(key) => self.put(now, key, job),
+                    AdmissionDecision::Wait(ticket) => {
                         waiting.insert((gateway, ticket), job);
                     }
-                    Admit::Refuse(_) => self.refuse(now, &job),
+                    AdmissionDecision::Refuse(_) => self.refuse(now, &job),
                 }
             }
         }
@@ -245,9 +247,9 @@
                 self.result.attained += u32::from(now <= job.deadline);
                 let first = job.began.map_or(Duration::ZERO, |b| b - job.dispatched);
                 let g = &mut self.gateways[job.gateway];
-                g.finish(now, self.keys[e], Ending::Whole { first });
+                g.finish(now, self.keys[e], AttemptOutcome::Completed { first });
                 let m = Subject::Model("model-000".into());
-                g.learn(&m, now - job.dispatched, Duration::ZERO, 1);
+                g.record_answer(&m, now - job.dispatched, Duration::ZERO, 1);
             }
         }
     }
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/desk.rs
@@ -1,9 +1,11 @@
 //! Admission for many threads: one lock around the decisions, and the tasks that wait for them.
 
 use arc_swap::ArcSwap;
-use limehollow::admission::{Admission, Admit, Offer, Reason, Refusal, Ticket, Turn};
+use limehollow::admission::{
+    Admission, AdmissionDecision, AdmissionRequest, QueueDecision, Reason, Refusal, Ticket,
+};
 use limehollow::id::{EndpointKey, ZoneName};
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::routing::Table;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -35,12 +37,12 @@
     desk: Arc<Desk>,
     /// The endpoint.
     pub key: EndpointKey,
-    ending: Option<Ending>,
+    ending: Option<AttemptOutcome>,
 }
 
 impl Slot {
     /// Says how the request ended, and gives the right back.
-    pub fn finish(mut self, ending: Ending) {
+    pub fn finish(mut self, ending: AttemptOutcome) {
         self.ending = Some(ending);
     }
 }
@@ -48,7 +50,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         // Whoever drops it without a word did so because the caller left.
-        let ending = self.ending.unwrap_or(Ending::Cancelled);
+        let ending = self.ending.unwrap_or(AttemptOutcome::Cancelled);
         self.desk
             .lock()
             .admission
@@ -105,7 +107,7 @@
     /// # Errors
     ///
     /// The refusal, as soon as it is known.
-    pub async fn admit(self: &Arc<Self>, offer: Offer) -> Granted {
+    pub async fn admit(self: &Arc<Self>, offer: AdmissionRequest) -> Granted {
         match self.offer(offer) {
             First::Now(granted) => granted,
             First::Later(_place, rx) => {
@@ -118,29 +120,29 @@
         }
     }
 
-    fn offer(self: &Arc<Self>, offer: Offer) -> First {
+    fn offer(self: &Arc<Self>, offer: AdmissionRequest) -> First {
         let table = self.table.load();
         let now = Instant::now();
         let mut inner = self.lock();
-        let mut admit = inner.admission.offer(now, &table, offer.clone());
+        let mut admit = inner.admission.admit(now, &table, offer.clone());
         let mut shed = None;
         if matches!(
             admit,
-            Admit::Refuse(Refusal {
+            AdmissionDecision::Refuse(Refusal {
                 reason: Reason::QueueFull,
                 ..
             })
         ) {
             shed = inner.admission.shed_for(&offer.subject, offer.priority);
             if shed.is_some() {
-                admit = inner.admission.offer(now, &table, offer);
+                admit = inner.admission.admit(now, &table, offer);
             }
         }
         let shed = shed.and_then(|(t, r)| inner.waiters.remove(&t).map(|tx| (tx, r)));
         let first = match admit {
-            Admit::Start(key) => First::Now(Ok(self.slot(key))),
-            Admit::Refuse(r) => First::Now(Err(r)),
-            Admit::Wait(ticket) => {
+            AdmissionDecision::Start(key) => First::Now(Ok(self.slot(key))),
+            AdmissionDecision::Refuse(r) => First::Now(Err(r)),
+            AdmissionDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 inner.waiters.insert(ticket, tx);
                 First::Later(
@@ -172,8 +174,8 @@
         for (ticket, turn) in turns {
             let waiter = inner.waiters.remove(&ticket);
             let grant = match turn {
-                Turn::Start(key) => Ok(self.slot(key)),
-                Turn::Refuse(r) => Err(r),
+                QueueDecision::Start(key) => Ok(self.slot(key)),
+                QueueDecision::Refuse(r) => Err(r),
             };
             granted.push((waiter, grant));
         }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -8,10 +8,10 @@
 use crate::request::Ask;
 use crate::shared::Shared;
 use bytes::Bytes;
-use limehollow::admission::{Offer, Reason, Refusal, Subject};
+use limehollow::admission::{AdmissionRequest, Reason, Refusal, Subject};
 use limehollow::intent::Priority;
-use limehollow::load::Ending;
-use limehollow::retry::{Attempts, Next};
+use limehollow::load::AttemptOutcome;
+use limehollow::retry::{Attempts, RetryDecision};
 use limehollow::routing::{Route, Target};
 use limehollow::verdict::{Failure, Verdict};
 use poem::http::{HeaderMap, StatusCode};
@@ -29,7 +29,7 @@
     /// The request.
     pub ask: Ask,
     /// What admission is asked.
-    pub offer: Offer,
+    pub offer: AdmissionRequest,
     /// The attempts.
     pub attempts: Attempts,
 }
@@ -39,7 +39,7 @@
     #[must_use]
     pub fn new(ask: Ask, route: &Route) -> Self {
         let priority = ask.terms.priority.unwrap_or(route.priority);
-        let offer = Offer {
+        let offer = AdmissionRequest {
             subject: ask.subject.clone(),
             caller: ask.terms.caller.clone(),
             priority,
@@ -265,7 +265,7 @@
                 let first = h.at - sent_at;
                 match whole(h, course.ask.terms.deadline).await {
                     Ok((status, headers, body)) => {
-                        slot.finish(Ending::Whole { first });
+                        slot.finish(AttemptOutcome::Completed { first });
                         let w = Whole {
                             status,
                             headers,
@@ -279,14 +279,14 @@
             Err(f) => f,
         };
         course.offer.failed.push(slot.key);
-        slot.finish(Ending::Failed(failure));
+        slot.finish(AttemptOutcome::Failed(failure));
         let now = Instant::now();
         let next = shared
             .budget()
             .after(now, &mut course.attempts, failure, rand::random());
         match next {
-            Next::Retry(pause) => sleep(pause).await,
-            Next::GiveUp(verdict) => {
+            RetryDecision::Retry(pause) => sleep(pause).await,
+            RetryDecision::GiveUp(verdict) => {
                 return give_instead(shared, &course, claim, &gave_up(failure, verdict));
             }
         }
@@ -316,7 +316,7 @@
     let subject = &course.ask.subject;
     shared
         .desk
-        .with(|a| a.learn(subject, now - sent_at, Duration::ZERO, 1));
+        .with(|a| a.record_answer(subject, now - sent_at, Duration::ZERO, 1));
     let outcome = if now <= course.ask.terms.deadline {
         "attained"
     } else {
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -11,8 +11,8 @@
 use crate::shared::Shared;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::Stream;
-use limehollow::load::Ending;
-use limehollow::retry::Next;
+use limehollow::load::AttemptOutcome;
+use limehollow::retry::RetryDecision;
 use limehollow::verdict::Failure;
 use smol_str::SmolStr;
 use std::sync::Arc;
@@ -136,7 +136,7 @@
         loop {
             if let Some(slot) = self.slot.take() {
                 self.course.offer.failed.push(slot.key);
-                slot.finish(Ending::Failed(failure));
+                slot.finish(AttemptOutcome::Failed(failure));
             }
             self.buf.clear();
             let now = Instant::now();
@@ -146,13 +146,13 @@
                 .budget()
                 .after(now, attempts, failure, rand::random());
             match next {
-                Next::GiveUp(verdict) => return Err(gave_up(failure, verdict)),
-                Next::Retry(pause) => sleep(pause).await,
+                RetryDecision::GiveUp(verdict) => return Err(gave_up(failure, verdict)),
+                RetryDecision::Retry(pause) => sleep(pause).await,
             }
             let (slot, target) = self.course.admit(&self.shared).await?;
             if target.version != self.version {
                 // Another version's words don't continue this one's.
-                slot.finish(Ending::Cancelled);
+                slot.finish(AttemptOutcome::Cancelled);
                 return Err(gave_up(failure, self.course.attempts.verdict));
             }
             self.shared.metrics.retries.inc();
@@ -176,7 +176,7 @@
         let now = Instant::now();
         let first = self.first.unwrap_or(now);
         if let Some(slot) = self.slot.take() {
-            slot.finish(Ending::Whole {
+            slot.finish(AttemptOutcome::Completed {
                 first: first - self.sent_at,
             });
         }
@@ -184,7 +184,7 @@
         let (to_first, rest) = (first - self.sent_at, now - first);
         self.shared
             .desk
-            .with(|a| a.learn(&subject, to_first, rest, tokens));
+            .with(|a| a.record_answer(&subject, to_first, rest, tokens));
         let outcome = if now <= self.course.ask.terms.deadline {
             "attained"
         } else {
--- a/crates/limehollow-node/src/assignment.rs
+++ b/crates/limehollow-node/src/assignment.rs
@@ -134,10 +134,10 @@
             let e = view.roster.get(key).filter(is_usable)?;
             let now = site.now();
             let is_closed = view.balance.backpressure.opens_in(now, key).is_some();
-            let takes = view.balance.takes(now, key, e) && !is_closed;
+            let takes = view.balance.accepts(now, key, e) && !is_closed;
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
-        Assignment::Overloaded(expected_ms) => Some(Choice::Crowded(f64::from(expected_ms))),
+        Assignment::Overloaded(expected_ms) => Some(Choice::Overloaded(f64::from(expected_ms))),
         // What the keeper doesn't know of, this VM may.
         Assignment::NoEndpoint => None,
     }
@@ -167,7 +167,7 @@
     let mut view = site.view();
     let choice = choose_here(now, &view, catalog, job, tried);
     if let Choice::To(key, _) = choice {
-        view.balance.promise(now, key, job);
+        view.balance.record_assignment(now, key, job);
     }
     choice
 }
@@ -193,9 +193,9 @@
                 Assignment::Endpoint(e.instance.clone(), expected_ms as f32)
             })
         }
-        Choice::Crowded(expected_ms) => Assignment::Overloaded(expected_ms as f32),
+        Choice::Overloaded(expected_ms) => Assignment::Overloaded(expected_ms as f32),
         // What rests for this VM may not for the one that asks.
-        Choice::Resting(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
+        Choice::BackingOff(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
             Assignment::NoEndpoint
         }
     };
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -21,7 +21,7 @@
 use limehollow::fingerprint::{Fingerprint, OriginTag};
 use limehollow::id::EndpointKey;
 use limehollow::job::Job;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::quarantine::Standing;
 use limehollow::quota::MAX_TRANSFER_TIME;
 use limehollow::retry::Repeat;
@@ -135,7 +135,7 @@
             let engine = self.catalog.engine(&self.job.service);
             let places = engine.map_or(1, |e| e.slots);
             let work = view.balance.demand_ms(&self.job, places);
-            view.arrivals.note(now, m, work);
+            view.arrivals.record(now, m, work);
         }
         let window = view.repeats.entry(self.job.service.clone()).or_default();
         window.request(now);
@@ -168,8 +168,8 @@
                     }
                     continue;
                 }
-                Choice::Crowded(expected_ms) => (Reason::Busy, self.come_back(expected_ms)),
-                Choice::Resting(wait) => (Reason::AtLimit, wait),
+                Choice::Overloaded(expected_ms) => (Reason::Busy, self.come_back(expected_ms)),
+                Choice::BackingOff(wait) => (Reason::AtLimit, wait),
                 Choice::NoEndpoint => (Reason::NoEndpoint, LATER),
                 Choice::NoModel => (Reason::NoModel, self.model_comes()),
                 Choice::NoAdapter => (Reason::NoAdapter, ADAPTER_SOON),
@@ -219,7 +219,7 @@
             return SOON;
         }
         match assignment::look(self.site, self.catalog, &self.job) {
-            Choice::Resting(wait) => spread(wait),
+            Choice::BackingOff(wait) => spread(wait),
             _ => SOON,
         }
     }
@@ -298,7 +298,7 @@
             self.authorization,
         );
         let Ok(sent) = self.site.clock.timeout_at(self.expiry, answer).await else {
-            running.end(Ending::Failed(Failure::Deadline), "expired");
+            running.end(AttemptOutcome::Failed(Failure::Deadline), "expired");
             return Ok(self.expired());
         };
         let answer = sent.inspect_err(|f| self.note_failure(&mut running, &c.to, f))?;
@@ -315,7 +315,7 @@
             .timeout_at(self.expiry, body.collect())
             .await
         else {
-            running.end(Ending::Failed(Failure::Deadline), "expired");
+            running.end(AttemptOutcome::Failed(Failure::Deadline), "expired");
             return Ok(self.expired());
         };
         let body = collected.map_err(|e| {
@@ -326,14 +326,17 @@
         self.site.pool.put_in_background(answer.connection, None);
         if head.status.is_server_error() {
             running.ran_to_end();
-            running.end(Ending::Failed(Failure::ServerError), "the endpoint failed");
+            running.end(
+                AttemptOutcome::Failed(Failure::ServerError),
+                "the endpoint failed",
+            );
             let f = AttemptFailure::broken(smol_str::format_smolstr!(
                 "status {}",
                 head.status.as_u16()
             ));
             let again =
                 self.rule.repeat == Repeat::Allowed && self.reached + 1 < self.rule.max_attempts;
-            if again && self.with_budget(RepeatWindow::has) {
+            if again && self.with_budget(RepeatWindow::has_budget) {
                 return Err(f);
             }
         } else {
@@ -364,7 +367,7 @@
         if f.evidence == EndpointEvidence::ConnectionEnded {
             running.cut_off();
         }
-        running.end(Ending::Failed(f.failure), "failed");
+        running.end(AttemptOutcome::Failed(f.failure), "failed");
         tracing::info!(
             id = %self.meta.id,
             verdict = %f.verdict,
@@ -408,7 +411,7 @@
 
     /// Takes a repeat from the budget, if it has one.
     fn site_takes_repeat(&self) -> bool {
-        let taken = self.with_budget(RepeatWindow::take);
+        let taken = self.with_budget(RepeatWindow::acquire);
         if taken {
             self.site.metrics.repeats.inc();
         }
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -138,7 +138,7 @@
             authorization.as_ref().and_then(|p| p.rank),
             &meta,
         )
-        .at_home(site.settings.load().zones_in_regions(&homes)),
+        .restricted_to(site.settings.load().zones_in_regions(&homes)),
         authorization: authorization.as_ref(),
         taken,
         site: &site,
--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -7,8 +7,8 @@
 use crate::id::EndpointKey;
 use crate::id::ZoneName;
 use crate::intent::Priority;
-use crate::load::{Ending, LoadReport, Loads, ServiceTime};
-use crate::routing::{Route, Table, Wish, pick};
+use crate::load::{AttemptOutcome, LoadReport, Loads, ServiceTime};
+use crate::routing::{Route, RouteQuery, Table, pick};
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -44,7 +44,7 @@
 
 /// A request that asks to be admitted.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct AdmissionRequest {
     /// What it is for.
     pub subject: Subject,
     /// Who sent it.
@@ -55,7 +55,7 @@
     pub deadline: Instant,
     /// The most tokens that it may generate.
     pub tokens: u32,
-    /// See [`Wish::affinity`].
+    /// See [`RouteQuery::affinity`].
     pub affinity: u64,
     /// Endpoints that already failed it.
     pub failed: Vec<EndpointKey>,
@@ -89,7 +89,7 @@
 
 /// The answer to an offer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum AdmissionDecision {
     /// Send it to this endpoint now.
     Start(EndpointKey),
     /// It waits; [`Admission::poll`] says what becomes of it.
@@ -100,7 +100,7 @@
 
 /// What became of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum QueueDecision {
     /// Send it to this endpoint now.
     Start(EndpointKey),
     /// Refuse it now.
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 struct Waiting {
     ticket: Ticket,
-    offer: Offer,
+    offer: AdmissionRequest,
 }
 
 /// One caller's requests in a queue, the oldest first.
@@ -184,7 +184,7 @@
     /// Takes out all requests for which the predicate holds.
     fn take_if<F>(&mut self, mut f: F) -> Vec<Waiting>
     where
-        F: FnMut(&Offer) -> bool,
+        F: FnMut(&AdmissionRequest) -> bool,
     {
         let mut out = Vec::new();
         for lines in &mut self.lines {
@@ -285,20 +285,25 @@
     }
 
     /// Decides about a new request, or about one that is to be tried again.
-    pub fn offer(&mut self, now: Instant, table: &Table, offer: Offer) -> Admit {
+    pub fn admit(
+        &mut self,
+        now: Instant,
+        table: &Table,
+        offer: AdmissionRequest,
+    ) -> AdmissionDecision {
         let Some(route) = offer.subject.route(table).filter(|r| !r.targets.is_empty()) else {
-            return Admit::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
+            return AdmissionDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         };
         // Waiting can't help a request that every endpoint has failed already.
         if route.targets.iter().all(|t| offer.failed.contains(&t.key)) {
-            return Admit::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
+            return AdmissionDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         }
         let service = self.service_time(&offer);
         let wait = self.wait_estimate(now, route, &offer);
         let idle = self.is_idle(route);
         if !idle && now + wait + service > offer.deadline {
             let late = (now + wait + service).duration_since(offer.deadline);
-            return Admit::Refuse(refuse(Reason::TooLate, late));
+            return AdmissionDecision::Refuse(refuse(Reason::TooLate, late));
         }
         let first_in_line = self
             .queues
@@ -307,25 +312,25 @@
         if first_in_line && let Some(key) = self.pick(now, route, &offer) {
             self.loads.start(key);
             self.starts.entry(offer.subject).or_default().note(now);
-            return Admit::Start(key);
+            return AdmissionDecision::Start(key);
         }
         if now + service > offer.deadline {
-            return Admit::Refuse(refuse(Reason::TooLate, wait));
+            return AdmissionDecision::Refuse(refuse(Reason::TooLate, wait));
         }
         self.enqueue(offer, wait)
     }
 
-    fn enqueue(&mut self, offer: Offer, wait: Duration) -> Admit {
+    fn enqueue(&mut self, offer: AdmissionRequest, wait: Duration) -> AdmissionDecision {
         let full = self.waiting >= MAX_WAITING;
         let q = self.queues.entry(offer.subject.clone()).or_default();
         if full || q.len >= MAX_QUEUE {
-            return Admit::Refuse(refuse(Reason::QueueFull, wait));
+            return AdmissionDecision::Refuse(refuse(Reason::QueueFull, wait));
         }
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         q.push(Waiting { ticket, offer });
         self.waiting += 1;
-        Admit::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
     /// Makes room in a full queue for a more important request.
@@ -358,12 +363,18 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: Ending) {
+    pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: AttemptOutcome) {
         self.loads.finish(now, key, ending);
     }
 
     /// Learns from a whole answer how long answers take.
-    pub fn learn(&mut self, subject: &Subject, first: Duration, rest: Duration, tokens: u32) {
+    pub fn record_answer(
+        &mut self,
+        subject: &Subject,
+        first: Duration,
+        rest: Duration,
+        tokens: u32,
+    ) {
         self.times
             .entry(subject.clone())
             .or_default()
@@ -371,7 +382,7 @@
     }
 
     /// Says which waiting requests start and which are given up on now.
-    pub fn poll(&mut self, now: Instant, table: &Table) -> Vec<(Ticket, Turn)> {
+    pub fn poll(&mut self, now: Instant, table: &Table) -> Vec<(Ticket, QueueDecision)> {
         let mut turns = Vec::new();
         let subjects: Vec<Subject> = self.queues.keys().cloned().collect();
         for subject in &subjects {
@@ -384,7 +395,12 @@
     }
 
     /// Gives up on requests that could not make it even if they started now.
-    fn give_up_late(&mut self, now: Instant, subject: &Subject, turns: &mut Vec<(Ticket, Turn)>) {
+    fn give_up_late(
+        &mut self,
+        now: Instant,
+        subject: &Subject,
+        turns: &mut Vec<(Ticket, QueueDecision)>,
+    ) {
         let time = self.times.get(subject).copied().unwrap_or_default();
         let Some(q) = self.queues.get_mut(subject) else {
             return;
@@ -393,7 +409,7 @@
         turns.extend(late.into_iter().map(|w| {
             (
                 w.ticket,
-                Turn::Refuse(refuse(Reason::TooLate, MIN_RETRY_AFTER)),
+                QueueDecision::Refuse(refuse(Reason::TooLate, MIN_RETRY_AFTER)),
             )
         }));
     }
@@ -403,7 +419,7 @@
         now: Instant,
         table: &Table,
         subject: &Subject,
-        turns: &mut Vec<(Ticket, Turn)>,
+        turns: &mut Vec<(Ticket, QueueDecision)>,
     ) {
         loop {
             let front = self.queues.get(subject).and_then(Queue::front);
@@ -412,14 +428,14 @@
             };
             let route = offer.subject.route(table).filter(|r| !r.targets.is_empty());
             let turn = match route {
-                None => Turn::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER)),
+                None => QueueDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER)),
                 Some(route) => match self.pick(now, route, offer) {
                     None => return,
-                    Some(key) => Turn::Start(key),
+                    Some(key) => QueueDecision::Start(key),
                 },
             };
             turns.push((*ticket, turn));
-            if let Turn::Start(key) = turn {
+            if let QueueDecision::Start(key) = turn {
                 self.loads.start(key);
                 self.starts.entry(subject.clone()).or_default().note(now);
             }
@@ -429,16 +445,16 @@
         }
     }
 
-    fn pick(&self, now: Instant, route: &Route, offer: &Offer) -> Option<EndpointKey> {
-        let wish = Wish {
+    fn pick(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Option<EndpointKey> {
+        let query = RouteQuery {
             zone: &self.zone,
             affinity: offer.affinity,
             failed: &offer.failed,
         };
-        pick(now, route, &self.loads, &wish).map(|t| t.key)
+        pick(now, route, &self.loads, &query).map(|t| t.key)
     }
 
-    fn service_time(&self, offer: &Offer) -> Duration {
+    fn service_time(&self, offer: &AdmissionRequest) -> Duration {
         self.times
             .get(&offer.subject)
             .map_or(Duration::ZERO, |t| t.estimate(offer.tokens))
@@ -456,7 +472,7 @@
     /// Estimates the wait of a new request: those ahead of it, at the pace at which requests were
     /// started lately; before there is a pace, over the slots of its endpoints, which is too short
     /// where other gateways use them too.
-    fn wait_estimate(&self, now: Instant, route: &Route, offer: &Offer) -> Duration {
+    fn wait_estimate(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Duration {
         if self.pick(now, route, offer).is_some() {
             return Duration::ZERO;
         }
--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -5,13 +5,13 @@
 //! it, at the pace that was measured, and the places that are taken. The endpoint that is soonest gets
 //! the request; another zone, failures and recent refusals count as time (`docs/design/system.md`).
 
+use crate::assignments::Assignments;
 use crate::backpressure::Backpressure;
 use crate::health::{Health, ZoneWays};
 use crate::id::{EndpointKey, ServiceName, VmName, ZoneName};
 use crate::job::{Job, RANKS};
-use crate::load::Ending;
+use crate::load::AttemptOutcome;
 use crate::pace::Pace;
-use crate::promised::Promised;
 use crate::roster::{Endpoint, Roster, holds};
 use crate::verdict::Failure;
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
     health: Health,
     refused_at: Option<Instant>,
     /// What this gateway promised there to others.
-    promised: Promised,
+    assigned: Assignments,
     remembered: HashMap<u64, Instant>,
 }
 
@@ -110,7 +110,7 @@
             slowness: (1.0, now),
             health: Health::default(),
             refused_at: None,
-            promised: Promised::default(),
+            assigned: Assignments::default(),
             remembered: HashMap::new(),
         }
     }
@@ -120,9 +120,9 @@
     fn taken(&self, now: Instant) -> Taken {
         let mut taken = self.own;
         taken.add(&self.others);
-        taken.requests = taken.requests.max(self.promised.requests(now));
+        taken.requests = taken.requests.max(self.assigned.requests(now));
         let said: f32 = taken.ahead_ms.iter().sum();
-        taken.ahead_ms[0] += (self.promised.ahead_ms(now) - said).max(0.0);
+        taken.ahead_ms[0] += (self.assigned.ahead_ms(now) - said).max(0.0);
         taken
     }
 
@@ -203,9 +203,9 @@
     To(EndpointKey, f64),
     /// All that hold what it needs have so many prompts to read that their streams would pause; the first
     /// result would be expected after so many ms.
-    Crowded(f64),
+    Overloaded(f64),
     /// All that hold what it needs want nothing of this VM now; the first of them does after so long.
-    Resting(Duration),
+    BackingOff(Duration),
     /// No endpoint of the service takes work.
     NoEndpoint,
     /// No endpoint that takes work holds the model.
@@ -227,7 +227,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     is_ejected: bool,
-    is_crowded: bool,
+    is_overloaded: bool,
     /// Whether it names a limit: it is left alone while others have room.
     is_limited: bool,
     /// Requests that end with the endpoint, where that matters. A request that crashed endpoints took 6.5 streams along in
@@ -240,7 +240,15 @@
 
 impl Candidate {
     fn is_better(self, other: Self) -> bool {
-        let rank = |c: Self| (c.is_ejected, c.is_crowded, c.is_limited, c.beside, c.cost);
+        let rank = |c: Self| {
+            (
+                c.is_ejected,
+                c.is_overloaded,
+                c.is_limited,
+                c.beside,
+                c.cost,
+            )
+        };
         rank(self) < rank(other)
     }
 }
@@ -310,8 +318,9 @@
             }
             let expected_ms = self.expected_ms(now, key, e, bounds.kv_tokens, job);
             let c = Candidate {
-                is_ejected: !self.takes(now, key, e),
-                is_crowded: self.reading_ms(now, key, job, bounds.reading_ms) > bounds.reading_ms,
+                is_ejected: !self.accepts(now, key, e),
+                is_overloaded: self.reading_ms(now, key, job, bounds.reading_ms)
+                    > bounds.reading_ms,
                 is_limited: self.backpressure.rate(key).is_some(),
                 beside: if job.isolated {
                     self.requests(key)
@@ -327,9 +336,9 @@
             }
         }
         match best {
-            Some(c) if c.is_crowded => Choice::Crowded(c.expected_ms),
+            Some(c) if c.is_overloaded => Choice::Overloaded(c.expected_ms),
             Some(c) => Choice::To(c.key, c.expected_ms),
-            None => rest.map_or(found, Choice::Resting),
+            None => rest.map_or(found, Choice::BackingOff),
         }
     }
 
@@ -450,9 +459,9 @@
 
     /// Tells whether an endpoint may get a request now, as far as its failures and its zone go.
     #[must_use]
-    pub fn takes(&self, now: Instant, key: EndpointKey, e: &Endpoint) -> bool {
+    pub fn accepts(&self, now: Instant, key: EndpointKey, e: &Endpoint) -> bool {
         let row = self.rows.get(key);
-        let alone = row.is_none_or(|r| r.health.takes(now, r.own.requests));
+        let alone = row.is_none_or(|r| r.health.accepts(now, r.own.requests));
         alone && !self.ways.is_cut(now, &e.zone)
     }
 
@@ -506,7 +515,7 @@
     }
 
     /// Notes that another gateway sends a job to an endpoint, or this one does, by this one's choice.
-    pub fn promise(&mut self, now: Instant, key: EndpointKey, job: &Job) {
+    pub fn record_assignment(&mut self, now: Instant, key: EndpointKey, job: &Job) {
         let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or_default();
         let work_ms = self.work_ms(key, job);
         let pace = job.model.as_ref().and_then(|m| self.paces.get(&m.model));
@@ -514,14 +523,14 @@
         let held = pace.map(|p| p.held_ms(job.max_output)).or(held);
         if let Some(row) = self.row(now, key) {
             let work = ms(work_ms * row.slowness(now));
-            row.promised
+            row.assigned
                 .add(now, work, ms(held.unwrap_or(DEFAULT_HELD_MS)));
             row.remember(now, job);
         }
     }
 
     /// Notes that a first result came.
-    pub fn first(&mut self, now: Instant, sent: &mut Sent) {
+    pub fn record_first_result(&mut self, now: Instant, sent: &mut Sent) {
         if sent.first.is_some() {
             return;
         }
@@ -559,12 +568,12 @@
     }
 
     /// Notes how a request ended.
-    pub fn finish(&mut self, now: Instant, mut sent: Sent, ending: Ending) {
+    pub fn finish(&mut self, now: Instant, mut sent: Sent, ending: AttemptOutcome) {
         self.read(&mut sent);
         if sent.trial {
             self.backpressure.end_trial(now, sent.key, false);
         }
-        if matches!(ending, Ending::Whole { .. }) {
+        if matches!(ending, AttemptOutcome::Completed { .. }) {
             let held = now.duration_since(sent.at).as_secs_f64() * 1000.0;
             let v = self.held_ms.entry(sent.service.clone()).or_insert(held);
             *v += (held - *v) * HELD_SMOOTHING;
@@ -579,20 +588,20 @@
         row.own.requests = (row.own.requests - 1.0).max(0.0);
         row.own.tokens = (row.own.tokens - sent.tokens).max(0.0);
         match ending {
-            Ending::Whole { .. } => {
+            AttemptOutcome::Completed { .. } => {
                 row.health.answer(now);
                 row.health.succeed();
             }
-            Ending::Cancelled => {}
-            Ending::Failed(Failure::Refused) => {
+            AttemptOutcome::Cancelled => {}
+            AttemptOutcome::Failed(Failure::Refused) => {
                 row.health.answer(now);
                 row.refused_at = Some(now);
             }
-            Ending::Failed(Failure::Connect) => {
+            AttemptOutcome::Failed(Failure::Connect) => {
                 row.health.fail(now, true);
                 self.ways.fail(now, &sent.zone, sent.key);
             }
-            Ending::Failed(Failure::Broken | Failure::ServerError | Failure::Deadline) => {
+            AttemptOutcome::Failed(Failure::Broken | Failure::ServerError | Failure::Deadline) => {
                 row.health.fail(now, false);
             }
         }
@@ -640,9 +649,9 @@
     }
 
     /// Takes in that a VM of this zone can't reach an endpoint.
-    pub fn told_unreached(&mut self, now: Instant, key: EndpointKey) {
+    pub fn report_unreachable(&mut self, now: Instant, key: EndpointKey) {
         if let Some(row) = self.row(now, key) {
-            row.health.told_unreached(now);
+            row.health.report_unreachable(now);
         }
     }
 
--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -13,7 +13,7 @@
 /// How long demand has to be unmet before a replica is added, and again before the next one.
 pub const UP_AFTER: Duration = Duration::from_secs(20);
 /// How long a word of a gateway counts.
-pub const WORD_LIFE: Duration = Duration::from_secs(10);
+pub const DEMAND_REPORT_LIFETIME: Duration = Duration::from_secs(10);
 /// For how long a new replica is expected to be of use, in seconds.
 const HORIZON: f64 = 600.0;
 /// What a move is worth in requests, at equal weights.
@@ -39,7 +39,7 @@
 
 impl Demand {
     /// Takes in how many requests a second a gateway had to refuse.
-    pub fn hear(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
+    pub fn report(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
         let word = Word {
             per_second: per_second.max(0.0),
             heard: now,
@@ -51,12 +51,12 @@
     #[must_use]
     pub fn unmet(&self, now: Instant, model: &str) -> f64 {
         let words = self.words.get(model).into_iter().flat_map(BTreeMap::values);
-        let fresh = words.filter(|w| now.duration_since(w.heard) < WORD_LIFE);
+        let fresh = words.filter(|w| now.duration_since(w.heard) < DEMAND_REPORT_LIFETIME);
         fresh.map(|w| w.per_second).sum()
     }
 
     /// Gives the models for which another replica is worth its moves, the most worthwhile first.
-    pub fn wanting(&mut self, now: Instant, intent: &Intent) -> Vec<ModelName> {
+    pub fn models_to_scale_up(&mut self, now: Instant, intent: &Intent) -> Vec<ModelName> {
         self.forget(now);
         let mut out = Vec::new();
         for m in &intent.models {
@@ -67,7 +67,7 @@
                 continue;
             }
             let row = self.unmet_since.entry(m.name.clone()).or_insert((now, now));
-            if now >= row.1 + WORD_LIFE {
+            if now >= row.1 + DEMAND_REPORT_LIFETIME {
                 row.0 = now;
             }
             row.1 = now;
@@ -81,13 +81,13 @@
     }
 
     /// Notes that a replica is on its way: the demand is given time to show whether it is enough.
-    pub fn acted(&mut self, now: Instant, model: &ModelName) {
+    pub fn record_scale_up(&mut self, now: Instant, model: &ModelName) {
         self.unmet_since.insert(model.clone(), (now, now));
     }
 
     fn forget(&mut self, now: Instant) {
         for words in self.words.values_mut() {
-            words.retain(|_, w| now.duration_since(w.heard) < WORD_LIFE);
+            words.retain(|_, w| now.duration_since(w.heard) < DEMAND_REPORT_LIFETIME);
         }
         self.words.retain(|_, w| !w.is_empty());
     }
--- a/crates/limehollow/src/health.rs
+++ b/crates/limehollow/src/health.rs
@@ -60,7 +60,7 @@
     }
 
     /// Tells whether the endpoint takes another request: while it is unproven, one at a time.
-    pub(crate) fn takes(&self, now: Instant, in_flight: f32) -> bool {
+    pub(crate) fn accepts(&self, now: Instant, in_flight: f32) -> bool {
         !self.is_ejected(now) && (!self.is_unproven || in_flight < 1.0)
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Notes that a VM of this zone can't reach the endpoint.
-    pub(crate) fn told_unreached(&mut self, now: Instant) {
+    pub(crate) fn report_unreachable(&mut self, now: Instant) {
         let lately = |t: Instant| now.duration_since(t) < ANSWERED_LATELY;
         if self.is_ejected(now) || self.is_unproven || self.answered.is_some_and(lately) {
             return;
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -262,7 +262,7 @@
         model: ModelName,
         per_second: f64,
     ) {
-        self.demand.hear(now, from, model, per_second);
+        self.demand.report(now, from, model, per_second);
     }
 
     /// Handles the result of sending an order.
@@ -300,11 +300,11 @@
         let at = self.log_time(now, fleet);
         let intent = fleet.confirmed_intent().map(|p| &p.intent);
         let wanting = intent
-            .map(|i| self.demand.wanting(now, i))
+            .map(|i| self.demand.models_to_scale_up(now, i))
             .unwrap_or_default();
         let added = self.next_orders(now, at, fleet, epoch, &wanting, &mut out);
         for model in added {
-            self.demand.acted(now, &model);
+            self.demand.record_scale_up(now, &model);
         }
         out
     }
--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -2,10 +2,12 @@
 
 mod traffic;
 
-use limehollow::admission::{Admission, Admit, MAX_QUEUE, Reason, Refusal, Subject, Ticket, Turn};
+use limehollow::admission::{
+    Admission, AdmissionDecision, MAX_QUEUE, QueueDecision, Reason, Refusal, Subject, Ticket,
+};
 use limehollow::id::EndpointKey;
 use limehollow::intent::Priority;
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::routing::Table;
 use limehollow::verdict::Failure;
 use std::time::Duration;
@@ -28,7 +30,7 @@
         let key = key(&table, "a1");
         let mut admission = Admission::new("a".into());
         let m = Subject::Model("m".into());
-        admission.learn(
+        admission.record_answer(
             &m,
             Duration::from_millis(100),
             Duration::from_millis(90),
@@ -42,28 +44,31 @@
         }
     }
 
-    fn offer(&mut self, caller: &str, deadline_ms: u64) -> Admit {
+    fn offer(&mut self, caller: &str, deadline_ms: u64) -> AdmissionDecision {
         let o = offer(self.t, caller, deadline_ms);
-        self.admission.offer(self.t, &self.table, o)
+        self.admission.admit(self.t, &self.table, o)
     }
 
-    fn offer_at(&mut self, caller: &str, priority: Priority) -> Admit {
-        let o = limehollow::admission::Offer {
+    fn offer_at(&mut self, caller: &str, priority: Priority) -> AdmissionDecision {
+        let o = limehollow::admission::AdmissionRequest {
             priority,
             ..offer(self.t, caller, 600_000)
         };
-        self.admission.offer(self.t, &self.table, o)
+        self.admission.admit(self.t, &self.table, o)
     }
 
     /// Fills the engine's eight slots.
     fn fill(&mut self) {
         for _ in 0..8 {
-            assert!(matches!(self.offer("filler", 60_000), Admit::Start(_)));
+            assert!(matches!(
+                self.offer("filler", 60_000),
+                AdmissionDecision::Start(_)
+            ));
         }
     }
 
-    fn finish_one(&mut self) -> Vec<(Ticket, Turn)> {
-        let ending = Ending::Whole {
+    fn finish_one(&mut self) -> Vec<(Ticket, QueueDecision)> {
+        let ending = AttemptOutcome::Completed {
             first: Duration::from_millis(100),
         };
         self.admission.finish(self.t, self.key, ending);
@@ -71,16 +76,16 @@
     }
 }
 
-fn ticket(a: Admit) -> Ticket {
+fn ticket(a: AdmissionDecision) -> Ticket {
     match a {
-        Admit::Wait(t) => t,
+        AdmissionDecision::Wait(t) => t,
         other => panic!("{other:?} is not waiting"),
     }
 }
 
-fn refusal(a: Admit) -> Refusal {
+fn refusal(a: AdmissionDecision) -> Refusal {
     match a {
-        Admit::Refuse(r) => r,
+        AdmissionDecision::Refuse(r) => r,
         other => panic!("{other:?} is no refusal"),
     }
 }
@@ -91,7 +96,7 @@
     let mut a = Admission::new("a".into());
     let t = Instant::now();
     assert_eq!(
-        refusal(a.offer(t, &table, offer(t, "c", 1_000))).reason,
+        refusal(a.admit(t, &table, offer(t, "c", 1_000))).reason,
         Reason::NoTarget
     );
 }
@@ -102,7 +107,7 @@
     let mut g = Gate::new();
     let mut o = offer(g.t, "c", 60_000);
     o.failed.push(g.key);
-    let r = refusal(g.admission.offer(g.t, &g.table, o));
+    let r = refusal(g.admission.admit(g.t, &g.table, o));
     assert_eq!(r.reason, Reason::NoTarget);
 }
 
@@ -121,7 +126,7 @@
 fn offer_idle_learns_again() {
     // A wrong estimate must not refuse everything for ever: an idle gateway lets one try.
     let mut g = Gate::new();
-    assert!(matches!(g.offer("c", 50), Admit::Start(_)));
+    assert!(matches!(g.offer("c", 50), AdmissionDecision::Start(_)));
     assert_eq!(refusal(g.offer("c", 50)).reason, Reason::TooLate);
 }
 
@@ -136,7 +141,7 @@
     g.t += Duration::from_millis(10);
     let turns = g.admission.poll(g.t, &g.table);
     assert!(
-        matches!(turns[..], [(t, Turn::Refuse(r))] if t == waiting && r.reason == Reason::TooLate)
+        matches!(turns[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::TooLate)
     );
     assert_eq!(g.admission.waiting(), 0);
 }
@@ -147,8 +152,8 @@
     g.fill();
     let first = ticket(g.offer("c", 60_000));
     let second = ticket(g.offer("c", 60_000));
-    assert_eq!(g.finish_one(), [(first, Turn::Start(g.key))]);
-    assert_eq!(g.finish_one(), [(second, Turn::Start(g.key))]);
+    assert_eq!(g.finish_one(), [(first, QueueDecision::Start(g.key))]);
+    assert_eq!(g.finish_one(), [(second, QueueDecision::Start(g.key))]);
 }
 
 #[test]
@@ -184,14 +189,14 @@
     let mut g = Gate::new();
     g.fill();
     let waiting = ticket(g.offer("c", 60_000));
-    let ending = Ending::Whole {
+    let ending = AttemptOutcome::Completed {
         first: Duration::from_millis(100),
     };
     g.admission.finish(g.t, g.key, ending);
     ticket(g.offer("late", 60_000));
     assert_eq!(
         g.admission.poll(g.t, &g.table),
-        [(waiting, Turn::Start(g.key))]
+        [(waiting, QueueDecision::Start(g.key))]
     );
 }
 
@@ -232,7 +237,7 @@
     let stays = ticket(g.offer("c", 60_000));
     g.admission.cancel(gone);
     assert_eq!(g.admission.waiting(), 1);
-    assert_eq!(g.finish_one(), [(stays, Turn::Start(g.key))]);
+    assert_eq!(g.finish_one(), [(stays, QueueDecision::Start(g.key))]);
 }
 
 #[test]
@@ -244,7 +249,7 @@
     let (empty, _) = table(&[]);
     let turns = g.admission.poll(g.t, &empty);
     assert!(
-        matches!(turns[..], [(t, Turn::Refuse(r))] if t == waiting && r.reason == Reason::NoTarget)
+        matches!(turns[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::NoTarget)
     );
 }
 
@@ -255,7 +260,7 @@
     let (start, service) = (g.t, Duration::from_secs(1));
     let m = Subject::Model("m".into());
     for _ in 0..50 {
-        g.admission.learn(&m, service, Duration::ZERO, 1);
+        g.admission.record_answer(&m, service, Duration::ZERO, 1);
     }
     let mut running: Vec<Instant> = Vec::new();
     let mut deadlines = std::collections::HashMap::new();
@@ -274,28 +279,28 @@
         for (end, deadline) in ended {
             good += u32::from(end <= deadline);
             g.admission
-                .finish(t, g.key, Ending::Whole { first: service });
-            g.admission.learn(&m, service, Duration::ZERO, 1);
+                .finish(t, g.key, AttemptOutcome::Completed { first: service });
+            g.admission.record_answer(&m, service, Duration::ZERO, 1);
         }
         due += 8.0 * share * tick.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
-            let o = limehollow::admission::Offer {
+            let o = limehollow::admission::AdmissionRequest {
                 tokens: 1,
                 ..offer(t, "c", 4_000)
             };
             let deadline = o.deadline;
-            match g.admission.offer(t, &g.table, o) {
-                Admit::Start(_) => finish.push((t + service, deadline)),
-                Admit::Wait(ticket) => {
+            match g.admission.admit(t, &g.table, o) {
+                AdmissionDecision::Start(_) => finish.push((t + service, deadline)),
+                AdmissionDecision::Wait(ticket) => {
                     deadlines.insert(ticket, deadline);
                 }
-                Admit::Refuse(_) => {}
+                AdmissionDecision::Refuse(_) => {}
             }
         }
         for (ticket, turn) in g.admission.poll(t, &g.table) {
             let deadline = deadlines.remove(&ticket).expect("it waited");
-            if matches!(turn, Turn::Start(_)) {
+            if matches!(turn, QueueDecision::Start(_)) {
                 finish.push((t + service, deadline));
             }
         }
@@ -319,13 +324,13 @@
     g.fill();
     let waiting = ticket(g.offer("c", 60_000));
     g.admission
-        .finish(g.t, g.key, Ending::Failed(Failure::Refused));
+        .finish(g.t, g.key, AttemptOutcome::Failed(Failure::Refused));
     let turns = g.admission.poll(g.t, &g.table);
     // A refusal lowers the limit below eight, so the slot isn't filled again at once.
     assert_eq!(turns, []);
-    g.admission.finish(g.t, g.key, Ending::Cancelled);
+    g.admission.finish(g.t, g.key, AttemptOutcome::Cancelled);
     assert_eq!(
         g.admission.poll(g.t, &g.table),
-        [(waiting, Turn::Start(g.key))]
+        [(waiting, QueueDecision::Start(g.key))]
     );
 }
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -34,8 +34,8 @@
     let mut d = Demand::default();
     let mut wanted = false;
     for s in 0..=for_secs {
-        d.hear(start + secs(s), "vm".into(), "m".into(), per_second);
-        wanted = !d.wanting(start + secs(s), &i).is_empty();
+        d.report(start + secs(s), "vm".into(), "m".into(), per_second);
+        wanted = !d.models_to_scale_up(start + secs(s), &i).is_empty();
     }
     wanted
 }
@@ -66,8 +66,11 @@
     let (i, start) = (weighed(LANTERWIJK), Instant::now());
     let mut d = Demand::default();
     for s in (0..15).chain(30..45) {
-        d.hear(start + secs(s), "vm".into(), "m".into(), 50.0);
-        assert!(d.wanting(start + secs(s), &i).is_empty(), "after {s} s");
+        d.report(start + secs(s), "vm".into(), "m".into(), 50.0);
+        assert!(
+            d.models_to_scale_up(start + secs(s), &i).is_empty(),
+            "after {s} s"
+        );
     }
 }
 
@@ -78,9 +81,9 @@
     let mut added = 0;
     for s in 0..=60 {
         let now = start + secs(s);
-        d.hear(now, "vm".into(), "m".into(), 5.0);
-        for m in d.wanting(now, &i) {
-            d.acted(now, &m);
+        d.report(now, "vm".into(), "m".into(), 5.0);
+        for m in d.models_to_scale_up(now, &i) {
+            d.record_scale_up(now, &m);
             added += 1;
         }
     }
@@ -93,12 +96,12 @@
     i.models[1].priority = Priority::High;
     let (start, mut d) = (Instant::now(), Demand::default());
     for s in 0..=20 {
-        d.hear(start + secs(s), "vm".into(), "m".into(), 50.0);
-        d.hear(start + secs(s), "vm".into(), "n".into(), 1.0);
-        d.wanting(start + secs(s), &i);
+        d.report(start + secs(s), "vm".into(), "m".into(), 50.0);
+        d.report(start + secs(s), "vm".into(), "n".into(), 1.0);
+        d.models_to_scale_up(start + secs(s), &i);
     }
     let order: Vec<String> = d
-        .wanting(start + secs(20), &i)
+        .models_to_scale_up(start + secs(20), &i)
         .iter()
         .map(ToString::to_string)
         .collect();
--- a/crates/limehollow/tests/keeping_places.rs
+++ b/crates/limehollow/tests/keeping_places.rs
@@ -9,7 +9,7 @@
 use limehollow::balance::{Balance, Bounds, Choice, Sent, Taken};
 use limehollow::id::{EndpointKey, VmName};
 use limehollow::job::{Job, PromptPart};
-use limehollow::load::Ending;
+use limehollow::load::AttemptOutcome;
 use limehollow::roster::Roster;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -94,7 +94,7 @@
         match self.vms[at].choose(self.now, &self.roster, bounds, j, &[]) {
             Choice::To(key, _) => {
                 if chooses == Chooses::OneKeeper {
-                    self.vms[at].promise(self.now, key, j);
+                    self.vms[at].record_assignment(self.now, key, j);
                 }
                 Some(key)
             }
@@ -141,7 +141,7 @@
                 let i = e.prompts.pop_front().expect("it was read");
                 let s = &mut self.streams[i];
                 let sent = s.sent.as_mut().expect("it runs");
-                self.vms[s.vm].first(self.now, sent);
+                self.vms[s.vm].record_first_result(self.now, sent);
                 e.running.push(i);
             }
             for i in &e.running {
@@ -150,7 +150,7 @@
                 if s.left.is_zero() {
                     let sent = s.sent.take().expect("it runs");
                     let first = sent.first().unwrap_or_default();
-                    self.vms[s.vm].finish(self.now, sent, Ending::Whole { first });
+                    self.vms[s.vm].finish(self.now, sent, AttemptOutcome::Completed { first });
                 }
             }
             let streams = &self.streams;
@@ -234,7 +234,7 @@
         let Choice::To(key, _) = b.choose(now, &r, bounds, &j, &[]) else {
             panic!("two endpoints hold the model");
         };
-        b.promise(now, key, &j);
+        b.record_assignment(now, key, &j);
         *got.entry(key).or_default() += 1;
     }
     assert_eq!(got.len(), keys.len());
--- a/crates/limehollow/tests/traffic/mod.rs
+++ b/crates/limehollow/tests/traffic/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use limehollow::admission::{Offer, Subject};
+use limehollow::admission::{AdmissionRequest, Subject};
 use limehollow::fleet::Fleet;
 use limehollow::id::{EndpointKey, LogTime, Offset};
 use limehollow::intent::{Intent, ModelIntent, Priority, Weights};
@@ -10,7 +10,7 @@
 use limehollow::record::{
     Answer, AnswerKind, EndpointKind, EndpointSeen, LeaseTaken, Record, Resident,
 };
-use limehollow::routing::{Table, TableMaker};
+use limehollow::routing::{Table, TableBuilder};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -104,14 +104,14 @@
     f
 }
 
-pub fn table(engines: &[(&str, &str)]) -> (Table, TableMaker) {
-    let mut maker = TableMaker::default();
-    let table = maker.make(&fleet(engines), &BTreeSet::new());
+pub fn table(engines: &[(&str, &str)]) -> (Table, TableBuilder) {
+    let mut maker = TableBuilder::default();
+    let table = maker.build(&fleet(engines), &BTreeSet::new());
     (table, maker)
 }
 
-pub fn offer(now: Instant, caller: &str, deadline_ms: u64) -> Offer {
-    Offer {
+pub fn offer(now: Instant, caller: &str, deadline_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         subject: Subject::Model("m".into()),
         caller: caller.into(),
         priority: Priority::Normal,
