--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -119,7 +119,12 @@
         let is_own_duplicate = self.orders.values().any(|p| {
             p.action == Action::Load && p.place == o.place && p.model == o.model && p.may_arrive(at)
         });
-        let free = acc.free().saturating_sub(duplicate_bytes) + if is_own_duplicate { needed.min(duplicate_bytes) } else { 0 };
+        let free = acc.free().saturating_sub(duplicate_bytes)
+            + if is_own_duplicate {
+                needed.min(duplicate_bytes)
+            } else {
+                0
+            };
         if free < needed {
             let (endpoint, accelerator) = (o.place.endpoint.clone(), o.place.accelerator);
             return MemorySnafu {
--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -281,7 +281,11 @@
 
     /// Carries the reservation of an unsettled order over a restart of its endpoint, since the order
     /// may still arrive at the new incarnation.
-    fn carry_over_pending(&self, name: &VmName, accelerators: &mut [Accelerator]) -> Option<Offset> {
+    fn carry_over_pending(
+        &self,
+        name: &VmName,
+        accelerators: &mut [Accelerator],
+    ) -> Option<Offset> {
         let old = self.endpoints.get(name)?;
         let order = old.pending?;
         let o = self.orders.get(&order)?;
--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -119,7 +119,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sent {
+enum SendState {
     /// The call is in progress.
     Sending,
     /// The call ended with the result, at the given time.
@@ -127,46 +127,46 @@
 }
 
 #[derive(Debug, Default)]
-struct Watch {
-    looking: bool,
-    next_look: Option<Instant>,
-    look: Option<Observation>,
+struct EndpointWatch {
+    poll_in_flight: bool,
+    next_poll: Option<Instant>,
+    observation: Option<Observation>,
     failing_since: Option<Instant>,
     /// When this process last recorded the endpoint as gone.
-    departed: Option<Instant>,
+    departure_recorded_at: Option<Instant>,
     fencing: bool,
     /// The incarnation that was fenced, the fencing number, and the time of the answer.
     fenced: Option<(Incarnation, Offset, Instant)>,
     /// When a ready replica was first absent from an observation, by accelerator and model.
-    missed: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
+    missing_since: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
     /// When a replica that isn't in the log's state was first observed, by accelerator and model.
-    strays: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
+    untracked_since: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
 }
 
 /// Drives one zone while this process holds its lease.
 #[derive(Debug)]
 pub struct Driver {
     zone: ZoneName,
-    me: VmName,
+    own_vm: VmName,
     incarnation: Incarnation,
     rules: Rules,
     list: BTreeMap<VmName, Listed>,
     list_known: bool,
     unlisted_since: BTreeMap<VmName, Instant>,
-    watches: BTreeMap<VmName, Watch>,
-    sent: BTreeMap<Offset, Sent>,
+    watches: BTreeMap<VmName, EndpointWatch>,
+    sent: BTreeMap<Offset, SendState>,
     /// When this process first read each unsettled order.
     first_seen: BTreeMap<Offset, Instant>,
     /// The time at which this process acquired the lease.
     held_since: Option<Instant>,
     /// The time since which the sender of an unsettled order can no longer send it.
-    released: BTreeMap<Offset, Instant>,
+    sender_gone_since: BTreeMap<Offset, Instant>,
     intent_seen: Option<(Offset, Instant)>,
     /// The next offset and when it was first seen, used to estimate the log time.
     last_record: Option<(Offset, Instant)>,
     demand: Demand,
     /// Whether an event came in that requires an evaluation of the whole fleet.
-    news: bool,
+    has_changes: bool,
     /// The next offset and the time of the last evaluation of the whole fleet.
     last_round: Option<(Offset, Instant)>,
 }
@@ -175,10 +175,10 @@
 impl Driver {
     /// Creates the driver of one controller.
     #[must_use]
-    pub fn new(zone: ZoneName, me: VmName, incarnation: Incarnation, rules: Rules) -> Self {
+    pub fn new(zone: ZoneName, own_vm: VmName, incarnation: Incarnation, rules: Rules) -> Self {
         Self {
             zone,
-            me,
+            own_vm,
             incarnation,
             rules,
             list: BTreeMap::new(),
@@ -188,18 +188,18 @@
             sent: BTreeMap::new(),
             first_seen: BTreeMap::new(),
             held_since: None,
-            released: BTreeMap::new(),
+            sender_gone_since: BTreeMap::new(),
             intent_seen: None,
             last_record: None,
             demand: Demand::default(),
-            news: true,
+            has_changes: true,
             last_round: None,
         }
     }
 
     /// Handles a new version of the platform's membership list.
     pub fn on_list(&mut self, now: Instant, rows: Vec<Listed>) {
-        self.news = true;
+        self.has_changes = true;
         let names: BTreeSet<VmName> = rows.iter().map(|l| l.vm.clone()).collect();
         for vm in self.list.keys().filter(|vm| !names.contains(*vm)) {
             self.unlisted_since.entry(vm.clone()).or_insert(now);
@@ -210,10 +210,10 @@
     }
 
     /// Handles the result of a poll: an observation of the endpoint, or `None` if it didn't answer.
-    pub fn on_observation(&mut self, now: Instant, endpoint: &VmName, look: Option<Observation>) {
+    pub fn on_observation(&mut self, now: Instant, endpoint: &VmName, observation: Option<Observation>) {
         let w = self.watches.entry(endpoint.clone()).or_default();
-        w.looking = false;
-        let says_new = match (&w.look, &look) {
+        w.poll_in_flight = false;
+        let is_changed = match (&w.observation, &observation) {
             (Some(old), Some(new)) => {
                 w.failing_since.is_some()
                     || old.incarnation != new.incarnation
@@ -222,11 +222,11 @@
             }
             _ => true,
         };
-        self.news |= says_new || !self.first_seen.is_empty();
-        match look {
+        self.has_changes |= is_changed || !self.first_seen.is_empty();
+        match observation {
             Some(l) => {
                 w.failing_since = None;
-                w.look = Some(l);
+                w.observation = Some(l);
             }
             None => {
                 w.failing_since.get_or_insert(now);
@@ -244,14 +244,14 @@
     ) {
         let w = self.watches.entry(endpoint.clone()).or_default();
         w.fencing = false;
-        self.news = true;
+        self.has_changes = true;
         let Some(i) = incarnation else { return };
         // A repeated fence must not invalidate the observations made since the first one.
         if w.fenced.is_some_and(|(j, n, _)| i == j && n >= number) {
             return;
         }
         w.fenced = Some((i, number, now));
-        w.next_look = Some(now);
+        w.next_poll = Some(now);
     }
 
     /// Handles a report of the requests per second for a model that a gateway of the zone had to refuse.
@@ -267,8 +267,8 @@
 
     /// Handles the result of sending an order.
     pub fn on_send_result(&mut self, now: Instant, order: Offset, res: SendResult) {
-        self.news = true;
-        self.sent.insert(order, Sent::Ended(res, now));
+        self.has_changes = true;
+        self.sent.insert(order, SendState::Ended(res, now));
     }
 }
 
@@ -276,33 +276,33 @@
 impl Driver {
     /// Returns the commands to carry out now.
     pub fn step(&mut self, now: Instant, fleet: &Fleet, peers: &Membership) -> Vec<Command> {
-        let mine = fleet
+        let own_lease = fleet
             .lease(&self.zone)
-            .filter(|l| l.holder == self.me && l.incarnation == self.incarnation);
-        let Some(lease) = mine else {
-            self.stand_by();
+            .filter(|l| l.holder == self.own_vm && l.incarnation == self.incarnation);
+        let Some(lease) = own_lease else {
+            self.reset_holder_state();
             return Vec::new();
         };
         let epoch = lease.epoch;
         self.held_since.get_or_insert(now);
         let mut out = Vec::new();
-        self.look_around(now, fleet, &mut out);
-        if !self.has_news(now, fleet) {
+        self.poll_endpoints(now, fleet, &mut out);
+        if !self.is_round_due(now, fleet) {
             return out;
         }
-        self.note_orders(now, fleet);
+        self.track_open_orders(now, fleet);
         self.settle(now, fleet, epoch, peers, &mut out);
         self.find_endpoints(fleet, epoch, &mut out);
         self.find_departures(now, fleet, epoch, &mut out);
         self.find_losses(now, fleet, epoch, &mut out);
-        self.find_strays(now, fleet, epoch, &mut out);
-        self.answer_intent(now, fleet, &mut out);
+        self.find_untracked_replicas(now, fleet, epoch, &mut out);
+        self.propose_plan(now, fleet, &mut out);
         let at = self.log_time(now, fleet);
         let intent = fleet.confirmed_intent().map(|p| &p.intent);
-        let wanting = intent
+        let in_demand = intent
             .map(|i| self.demand.wanting(now, i))
             .unwrap_or_default();
-        let added = self.next_orders(now, at, fleet, epoch, &wanting, &mut out);
+        let added = self.next_orders(now, at, fleet, epoch, &in_demand, &mut out);
         for model in added {
             self.demand.acted(now, &model);
         }
@@ -310,11 +310,11 @@
     }
 
     /// Resets the state that is valid only while this process holds the lease.
-    fn stand_by(&mut self) {
+    fn reset_holder_state(&mut self) {
         self.sent.clear();
         self.first_seen.clear();
         self.held_since = None;
-        self.released.clear();
+        self.sender_gone_since.clear();
         self.intent_seen = None;
         self.last_round = None;
         for w in self.watches.values_mut() {
@@ -325,15 +325,15 @@
     /// Returns `true` if something changed since the last evaluation of the whole fleet, or if
     /// [`ROUND_EVERY`] has passed. An evaluation takes milliseconds at the fleet size that is planned for
     /// (`docs/CAPACITY.md`), so it doesn't run at every step.
-    fn has_news(&mut self, now: Instant, fleet: &Fleet) -> bool {
+    fn is_round_due(&mut self, now: Instant, fleet: &Fleet) -> bool {
         let next = fleet.next_offset();
         let same = self
             .last_round
             .is_some_and(|(o, at)| o == next && now < at + ROUND_EVERY);
-        if same && !self.news {
+        if same && !self.has_changes {
             return false;
         }
-        self.news = false;
+        self.has_changes = false;
         self.last_round = Some((next, now));
         true
     }
@@ -354,7 +354,7 @@
         LogTime(fleet.at().0.saturating_add(ms))
     }
 
-    fn note_orders(&mut self, now: Instant, fleet: &Fleet) {
+    fn track_open_orders(&mut self, now: Instant, fleet: &Fleet) {
         let open: BTreeSet<Offset> = fleet
             .orders()
             .filter(|(_, o)| o.settled.is_none())
@@ -362,7 +362,7 @@
             .collect();
         self.first_seen.retain(|k, _| open.contains(k));
         self.sent.retain(|k, _| open.contains(k));
-        self.released.retain(|k, _| open.contains(k));
+        self.sender_gone_since.retain(|k, _| open.contains(k));
         for k in open {
             self.first_seen.entry(k).or_insert(now);
         }
--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -15,7 +15,7 @@
 
 impl Driver {
     /// Appends a plan for the latest intent, or the reason why there is none.
-    pub(super) fn answer_intent(&mut self, now: Instant, fleet: &Fleet, out: &mut Vec<Command>) {
+    pub(super) fn propose_plan(&mut self, now: Instant, fleet: &Fleet, out: &mut Vec<Command>) {
         let Some(latest) = fleet.latest_intent() else {
             return;
         };
@@ -66,7 +66,7 @@
         at: LogTime,
         fleet: &Fleet,
         epoch: Offset,
-        wanting: &[ModelName],
+        in_demand: &[ModelName],
         out: &mut Vec<Command>,
     ) -> Vec<ModelName> {
         let Some(p) = fleet.plan_in_force() else {
@@ -79,11 +79,11 @@
         for t in fleet.missing_targets() {
             round.consider_target(&t.zone, &t.place, &t.model);
         }
-        round.clear_strays();
+        round.unload_untracked_replicas();
         if round.loads < self.rules.max_loads {
-            self.substitute(now, fleet, &mut round);
+            self.replace_lost_replicas(now, fleet, &mut round);
         }
-        let added = self.meet_demand(fleet, wanting, &mut round);
+        let added = self.meet_demand(fleet, in_demand, &mut round);
         out.extend(
             round
                 .orders
@@ -98,23 +98,23 @@
     fn meet_demand(
         &self,
         fleet: &Fleet,
-        wanting: &[ModelName],
+        in_demand: &[ModelName],
         round: &mut Round<'_>,
     ) -> Vec<ModelName> {
         let Some(intent) = fleet.confirmed_intent().map(|p| &p.intent) else {
             return Vec::new();
         };
         let mut added = Vec::new();
-        for m in wanting.iter().filter_map(|n| intent.model(n.as_str())) {
+        for m in in_demand.iter().filter_map(|n| intent.model(n.as_str())) {
             // The replicas that the intent asks for come first: additional ones would compete with them.
-            if self.replicas_in_reach(fleet, &m.name) < usize::from(m.replicas) {
+            if self.available_replicas(fleet, &m.name) < usize::from(m.replicas) {
                 continue;
             }
             let model = m.model_version();
             let before = round.orders.len();
-            match self.free_place(fleet, intent, &model, m.bytes, round) {
+            match self.find_accelerator(fleet, intent, &model, m.bytes, round) {
                 Some(place) => round.issue(place, Action::Load, model, m.bytes, Cause::Demand),
-                None => self.make_room(fleet, intent, m.bytes, wanting, round),
+                None => self.unload_surplus_replica(fleet, intent, m.bytes, in_demand, round),
             }
             let loads = round.orders[before..]
                 .iter()
@@ -125,12 +125,12 @@
     }
 
     /// Unloads one replica beyond what the intent asks for, if that frees enough memory.
-    fn make_room(
+    fn unload_surplus_replica(
         &self,
         fleet: &Fleet,
         intent: &Intent,
         bytes: u64,
-        wanting: &[ModelName],
+        in_demand: &[ModelName],
         round: &mut Round<'_>,
     ) {
         let targets = fleet.plan_in_force().map_or(&[][..], |p| &p.plan.targets);
@@ -139,8 +139,8 @@
             let spare = a.replicas.iter().find(|(m, r)| {
                 r.state == ReplicaState::Ready
                     && a.free() + r.bytes >= bytes + headroom
-                    && !wanting.contains(&m.name)
-                    && round.has_more_than_enough(&m.name)
+                    && !in_demand.contains(&m.name)
+                    && round.has_surplus(&m.name)
                     && !targets.iter().any(|t| t.place == place && t.model == **m)
             });
             if let Some((m, r)) = spare {
@@ -151,14 +151,16 @@
     }
 
     /// Loads models whose accelerator is lost on another accelerator of this zone.
-    fn substitute(&self, now: Instant, fleet: &Fleet, round: &mut Round<'_>) {
+    fn replace_lost_replicas(&self, now: Instant, fleet: &Fleet, round: &mut Round<'_>) {
         let Some(intent) = fleet.confirmed_intent().map(|p| &p.intent) else {
             return;
         };
         let targets = fleet.plan_in_force().map_or(&[][..], |p| &p.plan.targets);
         let short: Vec<&ModelName> = targets
             .iter()
-            .filter(|t| self.is_lost(now, fleet, &t.place) && self.is_mine_to_mend(fleet, t))
+            .filter(|t| {
+                self.is_lost(now, fleet, &t.place) && self.is_repaired_by_own_zone(fleet, t)
+            })
             .map(|t| &t.model.name)
             .collect();
         let mut done = HashSet::new();
@@ -166,12 +168,12 @@
             let Some(m) = intent.model(name.as_str()).filter(|_| done.insert(name)) else {
                 continue;
             };
-            let there = self.replicas_in_reach(fleet, name);
+            let there = self.available_replicas(fleet, name);
             if there >= usize::from(m.replicas) {
                 continue;
             }
             let version = m.model_version();
-            if let Some(place) = self.free_place(fleet, intent, &version, m.bytes, round) {
+            if let Some(place) = self.find_accelerator(fleet, intent, &version, m.bytes, round) {
                 round.issue(place, Action::Load, version, m.bytes, Cause::Repair);
             }
         }
@@ -196,9 +198,9 @@
 
     /// Returns `true` if this zone replaces a lost target. The target's own zone does if it still has
     /// engines, else one of the other zones, chosen by rendezvous hashing of the model's name.
-    fn is_mine_to_mend(&self, fleet: &Fleet, t: &crate::plan::Target) -> bool {
+    fn is_repaired_by_own_zone(&self, fleet: &Fleet, t: &crate::plan::Target) -> bool {
         let has_room = |z: &ZoneName| {
-            let mut there = self.in_reach(fleet);
+            let mut there = self.available_endpoints(fleet);
             there.any(|e| e.zone == *z && !e.accelerators.is_empty())
         };
         if has_room(&t.zone) {
@@ -211,7 +213,7 @@
 
     /// Iterates over the endpoints of all zones that accept work and are on the platform's list. The list
     /// is checked as well, since no lease holder is left to record the loss of a whole zone in the log.
-    fn in_reach<'f>(&'f self, fleet: &'f Fleet) -> impl Iterator<Item = &'f Endpoint> {
+    fn available_endpoints<'f>(&'f self, fleet: &'f Fleet) -> impl Iterator<Item = &'f Endpoint> {
         fleet
             .endpoints()
             .filter(|(vm, e)| {
@@ -221,8 +223,8 @@
     }
 
     /// Returns the number of replicas of a model that are present or being loaded on available endpoints.
-    fn replicas_in_reach(&self, fleet: &Fleet, name: &ModelName) -> usize {
-        self.in_reach(fleet)
+    fn available_replicas(&self, fleet: &Fleet, name: &ModelName) -> usize {
+        self.available_endpoints(fleet)
             .flat_map(|e| &e.accelerators)
             .filter(|a| a.replicas.keys().any(|m| m.name == *name))
             .count()
@@ -268,7 +270,7 @@
             })
     }
 
-    fn free_place(
+    fn find_accelerator(
         &self,
         fleet: &Fleet,
         intent: &Intent,
@@ -301,7 +303,7 @@
     /// Models and accelerators with an earlier step that isn't done. Later steps on them wait, so that the
     /// order that the plan was checked in is kept even if zones progress at different speeds.
     blocked_models: HashSet<&'a ModelName>,
-    blocked_places: HashSet<&'a AcceleratorRef>,
+    blocked_accelerators: HashSet<&'a AcceleratorRef>,
     unloads: HashSet<(&'a AcceleratorRef, &'a ModelVersion)>,
     orders: Vec<OrderIssued>,
 }
@@ -325,7 +327,7 @@
             loads,
             busy: HashSet::new(),
             blocked_models: HashSet::new(),
-            blocked_places: HashSet::new(),
+            blocked_accelerators: HashSet::new(),
             unloads: HashSet::new(),
             orders: Vec::new(),
         }
@@ -341,10 +343,10 @@
         if e.presence == Presence::Gone || self.is_achieved(s) {
             return;
         }
-        let free =
-            !self.blocked_models.contains(&s.model.name) && !self.blocked_places.contains(&s.place);
+        let free = !self.blocked_models.contains(&s.model.name)
+            && !self.blocked_accelerators.contains(&s.place);
         self.blocked_models.insert(&s.model.name);
-        self.blocked_places.insert(&s.place);
+        self.blocked_accelerators.insert(&s.place);
         if free && s.zone == self.driver.zone {
             let again = self.was_done(s, plan);
             if again && self.has_enough(&s.model.name) {
@@ -363,7 +365,7 @@
         model: &'a ModelVersion,
     ) {
         let held =
-            self.fleet.replica(place, model).is_some() || self.blocked_places.contains(place);
+            self.fleet.replica(place, model).is_some() || self.blocked_accelerators.contains(place);
         if held || *zone != self.driver.zone || self.has_enough(&model.name) {
             return;
         }
@@ -391,13 +393,13 @@
             .confirmed_intent()
             .and_then(|p| p.intent.model(model.as_str()));
         intent.is_some_and(|m| {
-            self.driver.replicas_in_reach(self.fleet, model) >= usize::from(m.replicas)
+            self.driver.available_replicas(self.fleet, model) >= usize::from(m.replicas)
         })
     }
 
     /// Unloads replicas that no order explains and that exceed what the intent asks for.
-    fn clear_strays(&mut self) {
-        let mine = self
+    fn unload_untracked_replicas(&mut self) {
+        let own_endpoints = self
             .fleet
             .endpoints()
             .filter(|(_, e)| e.zone == self.driver.zone);
@@ -408,8 +410,8 @@
             .flat_map(|p| &p.plan.targets)
             .map(|t| (&t.place, &t.model))
             .collect();
-        let mut strays = Vec::new();
-        for (vm, e) in mine {
+        let mut untracked = Vec::new();
+        for (vm, e) in own_endpoints {
             for (accelerator, a) in (0_u16..).zip(&e.accelerators) {
                 let place = AcceleratorRef {
                     endpoint: vm.clone(),
@@ -417,24 +419,24 @@
                 };
                 let unordered = a.replicas.iter().filter(|(_, r)| r.last_order.is_none());
                 let unwanted = unordered.filter(|(m, _)| !targets.contains(&(&place, *m)));
-                strays.extend(unwanted.map(|(m, r)| (place.clone(), m.clone(), r.bytes)));
+                untracked.extend(unwanted.map(|(m, r)| (place.clone(), m.clone(), r.bytes)));
             }
         }
-        for (place, model, bytes) in strays {
-            if self.has_more_than_enough(&model.name) {
+        for (place, model, bytes) in untracked {
+            if self.has_surplus(&model.name) {
                 self.issue(place, Action::Unload, model, bytes, Cause::Repair);
             }
         }
     }
 
     /// Returns `true` if a model has more replicas than the intent asks for, or isn't part of the intent.
-    fn has_more_than_enough(&self, model: &ModelName) -> bool {
+    fn has_surplus(&self, model: &ModelName) -> bool {
         let intent = self
             .fleet
             .confirmed_intent()
             .and_then(|p| p.intent.model(model.as_str()));
         intent.is_none_or(|m| {
-            self.driver.replicas_in_reach(self.fleet, model) > usize::from(m.replicas)
+            self.driver.available_replicas(self.fleet, model) > usize::from(m.replicas)
         })
     }
 
--- a/crates/limehollow/src/order/find.rs
+++ b/crates/limehollow/src/order/find.rs
@@ -14,7 +14,7 @@
 
 impl Driver {
     /// Polls each listed endpoint of the zone, those with an unsettled order twice as often.
-    pub(super) fn look_around(&mut self, now: Instant, fleet: &Fleet, out: &mut Vec<Command>) {
+    pub(super) fn poll_endpoints(&mut self, now: Instant, fleet: &Fleet, out: &mut Vec<Command>) {
         let rows: Vec<(VmName, SmolStr)> = self
             .own_listed()
             .map(|l| (l.vm.clone(), l.address.clone()))
@@ -29,11 +29,11 @@
                 self.rules.poll_interval
             };
             let w = self.watches.entry(vm.clone()).or_default();
-            if w.looking || w.next_look.is_some_and(|t| now < t) {
+            if w.poll_in_flight || w.next_poll.is_some_and(|t| now < t) {
                 continue;
             }
-            w.looking = true;
-            w.next_look = Some(now + every);
+            w.poll_in_flight = true;
+            w.next_poll = Some(now + every);
             out.push(Command::Poll {
                 endpoint: vm,
                 address,
@@ -49,9 +49,11 @@
             let Some(w) = self.watches.get_mut(&l.vm) else {
                 continue;
             };
-            let Some(look) = &w.look else { continue };
+            let Some(observation) = &w.observation else {
+                continue;
+            };
             let same = known.is_some_and(|e| {
-                e.incarnation == look.incarnation
+                e.incarnation == observation.incarnation
                     && e.presence == Presence::Live
                     && e.address == l.address
             });
@@ -64,7 +66,7 @@
                     checks_fencing: true
                 }
             );
-            let fenced = w.fenced.filter(|(i, ..)| *i == look.incarnation);
+            let fenced = w.fenced.filter(|(i, ..)| *i == observation.incarnation);
             if needs_fence && fenced.is_none() {
                 if !w.fencing {
                     w.fencing = true;
@@ -81,19 +83,23 @@
             // The observation must begin after the fence, or an old order may have arrived in between. It
             // must also begin after the departure was recorded and after this process acquired the lease,
             // so that it shows the effect of every order that was settled before.
-            let since = [self.held_since, w.departed, fenced.map(|(.., at)| at)];
+            let since = [
+                self.held_since,
+                w.departure_recorded_at,
+                fenced.map(|(.., at)| at),
+            ];
             let since = since.into_iter().flatten().max();
-            if since.is_some_and(|t| look.began < t + self.rules.report_lag) {
+            if since.is_some_and(|t| observation.began < t + self.rules.report_lag) {
                 continue;
             }
             let seen = EndpointSeen {
                 zone: self.zone.clone(),
                 epoch,
                 endpoint: l.vm.clone(),
-                incarnation: look.incarnation,
+                incarnation: observation.incarnation,
                 address: l.address.clone(),
-                kind: kind_of(&l.kind, &look.kind),
-                residents: look.residents.clone(),
+                kind: kind_of(&l.kind, &observation.kind),
+                residents: observation.residents.clone(),
             };
             out.push(Command::Append(Record::EndpointSeen(seen)));
         }
@@ -127,7 +133,10 @@
                 continue;
             }
             if departure == Departure::Gone {
-                self.watches.entry(vm.clone()).or_default().departed = Some(now);
+                self.watches
+                    .entry(vm.clone())
+                    .or_default()
+                    .departure_recorded_at = Some(now);
             }
             let (zone, endpoint) = (self.zone.clone(), vm.clone());
             let left = EndpointLeft {
@@ -154,10 +163,14 @@
             let Some(w) = self.watches.get_mut(vm) else {
                 continue;
             };
-            let Some(look) = w.look.as_ref().filter(|l| l.incarnation == e.incarnation) else {
+            let Some(observation) = w
+                .observation
+                .as_ref()
+                .filter(|l| l.incarnation == e.incarnation)
+            else {
                 continue;
             };
-            let mut missed = BTreeMap::new();
+            let mut missing_since = BTreeMap::new();
             for (accelerator, a) in (0_u16..).zip(&e.accelerators) {
                 let place = AcceleratorRef {
                     endpoint: vm.clone(),
@@ -167,14 +180,14 @@
                     .replicas
                     .iter()
                     .filter(|(_, r)| r.state == ReplicaState::Ready);
-                for (model, _) in ready.filter(|(m, _)| !look.has(&place, m)) {
+                for (model, _) in ready.filter(|(m, _)| !observation.has(&place, m)) {
                     let key = (place.clone(), model.clone());
-                    let since = w.missed.get(&key).copied().unwrap_or(now);
-                    missed.insert(key, since);
+                    let since = w.missing_since.get(&key).copied().unwrap_or(now);
+                    missing_since.insert(key, since);
                 }
             }
-            for ((place, model), since) in &missed {
-                if look.began > *since + lag {
+            for ((place, model), since) in &missing_since {
+                if observation.began > *since + lag {
                     let (zone, place, model) = (self.zone.clone(), place.clone(), model.clone());
                     let lost = ReplicaLost {
                         zone,
@@ -185,13 +198,13 @@
                     out.push(Command::Append(Record::ReplicaLost(lost)));
                 }
             }
-            w.missed = missed;
+            w.missing_since = missing_since;
         }
     }
 
     /// Records models that observations keep showing and that aren't in the log's state. They come from a
     /// duplicate of an old load or from an order of another client, and their memory has to be counted.
-    pub(super) fn find_strays(
+    pub(super) fn find_untracked_replicas(
         &mut self,
         now: Instant,
         fleet: &Fleet,
@@ -203,21 +216,24 @@
             let Some(w) = self.watches.get_mut(vm) else {
                 continue;
             };
-            let look = w.look.as_ref().filter(|l| l.incarnation == e.incarnation);
-            let Some(look) = look.filter(|_| e.pending.is_none()) else {
-                w.strays.clear();
+            let observation = w
+                .observation
+                .as_ref()
+                .filter(|l| l.incarnation == e.incarnation);
+            let Some(observation) = observation.filter(|_| e.pending.is_none()) else {
+                w.untracked_since.clear();
                 continue;
             };
-            let mut strays = BTreeMap::new();
-            for r in look
+            let mut untracked_since = BTreeMap::new();
+            for r in observation
                 .residents
                 .iter()
                 .filter(|r| fleet.replica(&r.place, &r.model).is_none())
             {
                 let key = (r.place.clone(), r.model.clone());
-                let since = w.strays.get(&key).copied().unwrap_or(now);
-                strays.insert(key, since);
-                if look.began > since + lag {
+                let since = w.untracked_since.get(&key).copied().unwrap_or(now);
+                untracked_since.insert(key, since);
+                if observation.began > since + lag {
                     let (zone, resident) = (self.zone.clone(), r.clone());
                     out.push(Command::Append(Record::ReplicaFound(ReplicaFound {
                         zone,
@@ -226,14 +242,14 @@
                     })));
                 }
             }
-            w.strays = strays;
+            w.untracked_since = untracked_since;
         }
     }
 }
 
 /// Combines an endpoint's kind on the membership list with the observed one.
-fn kind_of(listed: &ListedKind, looked: &EndpointKind) -> EndpointKind {
-    match (listed, looked) {
+fn kind_of(listed: &ListedKind, observed: &EndpointKind) -> EndpointKind {
+    match (listed, observed) {
         (ListedKind::Engine { checks_fencing }, EndpointKind::Engine { accelerators, .. }) => {
             let accelerators = accelerators.clone();
             EndpointKind::Engine {
@@ -242,6 +258,6 @@
             }
         }
         (ListedKind::Service { name }, _) => EndpointKind::Service { name: name.clone() },
-        _ => looked.clone(),
+        _ => observed.clone(),
     }
 }
--- a/crates/limehollow/src/order/settle.rs
+++ b/crates/limehollow/src/order/settle.rs
@@ -1,6 +1,6 @@
 //! Settlement of orders: the evidence that establishes an order's outcome.
 
-use super::{Command, Driver, Order, SendResult, Sent};
+use super::{Command, Driver, Order, SendResult, SendState};
 use crate::fleet::{Fleet, OrderState, Presence};
 use crate::id::{Incarnation, Offset, VmName};
 use crate::listing::Observation;
@@ -33,8 +33,8 @@
                 if o.action == Action::Unload && !self.is_drained(number, o) {
                     continue;
                 }
-                self.sent.insert(number, Sent::Sending);
-                out.push(Command::Send(order(number, o, e.address.clone(), fleet)));
+                self.sent.insert(number, SendState::Sending);
+                out.push(Command::Send(to_order(number, o, e.address.clone(), fleet)));
                 continue;
             }
             let known = self.outcome(now, fleet, epoch, number, o, peers, out);
@@ -59,11 +59,11 @@
         let w = self
             .watches
             .get(&o.place.endpoint)
-            .and_then(|w| w.look.as_ref());
-        let Some(look) = w.filter(|l| l.began >= since + self.rules.report_lag) else {
+            .and_then(|w| w.observation.as_ref());
+        let Some(observation) = w.filter(|l| l.began >= since + self.rules.report_lag) else {
             return false;
         };
-        !look
+        !observation
             .running
             .iter()
             .any(|(m, n)| *m == o.model.name && *n > 0)
@@ -87,14 +87,14 @@
         let own = o.epoch == epoch;
         let sent = self.sent.get(&number).copied().filter(|_| own);
         let ended = match sent {
-            Some(Sent::Sending) => return None,
-            Some(Sent::Ended(SendResult::Refused, _)) => {
+            Some(SendState::Sending) => return None,
+            Some(SendState::Ended(SendResult::Refused, _)) => {
                 return Some((Outcome::NotDone, Evidence::Answered));
             }
-            Some(Sent::Ended(SendResult::NeverSent, _)) => {
+            Some(SendState::Ended(SendResult::NeverSent, _)) => {
                 return Some((Outcome::NotDone, Evidence::NeverSent));
             }
-            Some(Sent::Ended(res, at)) => Some((res, at)),
+            Some(SendState::Ended(res, at)) => Some((res, at)),
             None => None,
         };
         let began = ended.map_or(self.first_seen[&number], |(_, at)| at);
@@ -105,9 +105,9 @@
             let waited = self.has_waited(now, number, ended.map(|(_, at)| at), released);
             return waited.then_some((Outcome::NotDone, Evidence::DelayPassed));
         }
-        let look = self.fresh_look(&o.place.endpoint, e.incarnation, began);
+        let observation = self.fresh_observation(&o.place.endpoint, e.incarnation, began);
         let accepted = matches!(ended, Some((SendResult::Accepted, _)));
-        if accepted && let Some(l) = look {
+        if accepted && let Some(l) = observation {
             let changing = l.is_changing(&o.place, &o.model);
             if !changing && l.has(&o.place, &o.model) == (o.action == Action::Load) {
                 return Some((Outcome::Done, Evidence::EffectSeen));
@@ -146,7 +146,7 @@
         let Some((_, _, at)) = fenced else {
             // A restarted endpoint is fenced when it is discovered, not in order to settle this order.
             let same = w
-                .look
+                .observation
                 .as_ref()
                 .is_some_and(|l| l.incarnation == incarnation);
             if !w.fencing && same {
@@ -160,11 +160,11 @@
             }
             return None;
         };
-        let look = self.fresh_look(endpoint, incarnation, at)?;
-        if look.is_changing(&o.place, &o.model) {
+        let observation = self.fresh_observation(endpoint, incarnation, at)?;
+        if observation.is_changing(&o.place, &o.model) {
             return None;
         }
-        Some((effect(o, look), Evidence::Fenced))
+        Some((observed_outcome(o, observation), Evidence::Fenced))
     }
 
     /// Settles an order at an endpoint that doesn't check fencing numbers: either the effect is observed,
@@ -181,11 +181,11 @@
     ) -> Option<(Outcome, Evidence)> {
         let first_seen = self.first_seen[&number];
         let waited = self.has_waited(now, number, ended, released);
-        let look = self.fresh_look(&o.place.endpoint, incarnation, first_seen)?;
-        if look.is_changing(&o.place, &o.model) {
+        let observation = self.fresh_observation(&o.place.endpoint, incarnation, first_seen)?;
+        if observation.is_changing(&o.place, &o.model) {
             return None;
         }
-        if effect(o, look) == Outcome::Done {
+        if observed_outcome(o, observation) == Outcome::Done {
             return Some((Outcome::Done, Evidence::EffectSeen));
         }
         waited.then_some((Outcome::NotDone, Evidence::DelayPassed))
@@ -200,9 +200,11 @@
         released: bool,
     ) -> bool {
         if released {
-            self.released.entry(number).or_insert(ended.unwrap_or(now));
+            self.sender_gone_since
+                .entry(number)
+                .or_insert(ended.unwrap_or(now));
         }
-        let since = self.released.get(&number);
+        let since = self.sender_gone_since.get(&number);
         since.is_some_and(|t| now >= *t + self.rules.max_order_delay)
     }
 
@@ -212,7 +214,7 @@
         let (vm, incarnation) = &o.sender;
         // The sender is this process under an earlier epoch, or an earlier incarnation of it: in both cases
         // it won't send the order any more.
-        if *vm == self.me {
+        if *vm == self.own_vm {
             return true;
         }
         let off_list = self.list_known && !self.list.contains_key(vm);
@@ -224,19 +226,19 @@
     }
 
     /// Returns the last observation of an endpoint if no part of it can be older than `since`.
-    fn fresh_look(
+    fn fresh_observation(
         &self,
         vm: &VmName,
         incarnation: Incarnation,
         since: Instant,
     ) -> Option<&Observation> {
-        let look = self.watches.get(vm)?.look.as_ref()?;
-        let fresh = look.began >= since + self.rules.report_lag;
-        (fresh && look.incarnation == incarnation).then_some(look)
+        let observation = self.watches.get(vm)?.observation.as_ref()?;
+        let fresh = observation.began >= since + self.rules.report_lag;
+        (fresh && observation.incarnation == incarnation).then_some(observation)
     }
 }
 
-fn order(number: Offset, o: &OrderState, address: SmolStr, fleet: &Fleet) -> Order {
+fn to_order(number: Offset, o: &OrderState, address: SmolStr, fleet: &Fleet) -> Order {
     let bytes = fleet.replica(&o.place, &o.model).map_or(0, |r| r.bytes);
     let (place, model) = (o.place.clone(), o.model.clone());
     Order {
@@ -250,8 +252,8 @@
 }
 
 /// Returns the outcome of an order as shown by an observation that is newer than the order.
-fn effect(o: &OrderState, look: &Observation) -> Outcome {
-    if look.has(&o.place, &o.model) == (o.action == Action::Load) {
+fn observed_outcome(o: &OrderState, observation: &Observation) -> Outcome {
+    if observation.has(&o.place, &o.model) == (o.action == Action::Load) {
         return Outcome::Done;
     }
     Outcome::NotDone
--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -103,7 +103,10 @@
             return Vec::new();
         }
         let buffered = std::mem::take(&mut self.buffered);
-        buffered.into_iter().flat_map(|e| self.push_entry(e)).collect()
+        buffered
+            .into_iter()
+            .flat_map(|e| self.push_entry(e))
+            .collect()
     }
 
     fn apply_buffered(&mut self, last: Entry) -> Vec<Applied> {
