--- a/crates/limehollow/src/record.rs
+++ b/crates/limehollow/src/record.rs
@@ -1,7 +1,7 @@
-//! What processes append to the platform's log.
+//! The records that processes append to the platform's log.
 //!
-//! A record is a request to everybody who reads the log: [`crate::fleet::Fleet::apply`] says whether it
-//! takes effect, and says the same to every reader.
+//! A record is a request to change the shared state. [`crate::fleet::Fleet::apply`] decides whether it
+//! takes effect, with the same result for every reader.
 
 use crate::id::{Incarnation, LogTime, Offset, OperatorName, ServiceName, VmName, ZoneName};
 use crate::intent::{Intent, IntentChange};
@@ -12,48 +12,48 @@
 /// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// An operator says what is to be served.
+    /// An operator publishes the models to serve.
     Intent(Intent),
     /// An operator changes the latest intent.
     IntentChange(IntentChange),
-    /// A controller answers an intent.
+    /// A controller proposes a plan for an intent.
     Plan(Plan),
-    /// A controller says why an intent can't be met.
+    /// A controller reports why an intent can't be met.
     PlanRefused(PlanRefused),
-    /// An operator answers a plan.
+    /// An operator confirms or rejects a plan.
     Answer(Answer),
-    /// A controller takes a zone's lease.
+    /// A controller takes over a zone's lease.
     LeaseTaken(LeaseTaken),
-    /// The holder of a zone's lease has seen an endpoint, or a new incarnation of it.
+    /// The holder of a zone's lease discovered an endpoint, or a new incarnation of it.
     EndpointSeen(EndpointSeen),
-    /// The holder of a zone's lease says that an endpoint leaves or is gone.
+    /// The holder of a zone's lease found that an endpoint is leaving or gone.
     EndpointLeft(EndpointLeft),
     /// The holder of a zone's lease is about to send an order.
     OrderIssued(OrderIssued),
     /// The outcome of an order is known.
     OrderSettled(OrderSettled),
-    /// A replica was found to be gone.
+    /// A ready replica is no longer observed.
     ReplicaLost(ReplicaLost),
-    /// A replica was found that no order accounts for.
+    /// A replica was observed that no order explains.
     ReplicaFound(ReplicaFound),
 }
 
 /// Why an intent has no plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanRefused {
-    /// The intent.
+    /// The offset of the intent.
     pub intent: Offset,
-    /// The shortest explanation, and what would mend it.
+    /// A short explanation that includes how to fix the problem.
     pub why: SmolStr,
 }
 
-/// What an operator says to a plan.
+/// Whether an operator confirms or rejects a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AnswerKind {
-    /// Carry it out.
+    /// The plan is carried out.
     Confirm,
-    /// Drop it.
+    /// The plan is dropped.
     Reject,
 }
 
@@ -62,70 +62,70 @@
 pub struct Answer {
     /// The offset of the plan.
     pub plan: Offset,
-    /// Who answers.
+    /// The operator who answers.
     pub operator: OperatorName,
-    /// What is said.
+    /// Whether the plan is confirmed or rejected.
     pub kind: AnswerKind,
 }
 
-/// A takeover of a zone's lease; its own offset is the new epoch.
+/// A takeover of a zone's lease; the offset of the record is the new epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseTaken {
     /// The zone.
     pub zone: ZoneName,
-    /// The entry VM that takes the lease.
+    /// The entry VM that takes over the lease.
     pub holder: VmName,
-    /// The incarnation of its controller.
+    /// The incarnation of the holder's controller.
     pub incarnation: Incarnation,
-    /// The epoch that it replaces; void if that isn't the current one.
+    /// The epoch that the takeover replaces. The record is void if it isn't the current one.
     pub replaces: Option<Offset>,
 }
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointKind {
     /// A model engine with accelerators.
     Engine {
-        /// Whether it refuses orders with an old fencing number.
+        /// Whether the engine refuses orders with an old fencing number.
         checks_fencing: bool,
         /// The memory of each accelerator, in bytes.
         accelerators: Vec<u64>,
     },
     /// A plain service.
     Service {
-        /// Its name in request paths.
+        /// The service's name in request paths.
         name: ServiceName,
     },
 }
 
-/// A model found on an endpoint when it was first looked at.
+/// A model that was observed on an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
     /// The accelerator.
     pub place: AcceleratorRef,
     /// The model.
     pub model: ModelVersion,
-    /// Its memory, in bytes.
+    /// The accelerator memory that the model takes, in bytes.
     pub bytes: u64,
 }
 
-/// An endpoint, as the lease holder of its zone found it.
+/// An endpoint as discovered by the lease holder of its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSeen {
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneName,
-    /// The lease under which it is said.
+    /// The epoch of the lease under which the record is appended.
     pub epoch: Offset,
     /// The endpoint.
     pub endpoint: VmName,
-    /// Its incarnation.
+    /// The endpoint's incarnation.
     pub incarnation: Incarnation,
-    /// Where it listens, as `IP:PORT`.
+    /// The address that the endpoint listens on, as `IP:PORT`.
     pub address: SmolStr,
-    /// What it is.
+    /// The endpoint's kind.
     pub kind: EndpointKind,
-    /// The models on it, seen after it was fenced if it checks fencing numbers.
+    /// The models on the endpoint, observed after it was fenced if it checks fencing numbers.
     pub residents: Vec<Resident>,
 }
 
@@ -133,81 +133,81 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Departure {
-    /// It leaves: no new work, what is in flight ends.
+    /// The endpoint gets no new work and finishes the requests in flight.
     Leaving,
-    /// It is off the membership list.
+    /// The endpoint is off the membership list or doesn't answer any more.
     Gone,
 }
 
-/// An endpoint that leaves or is gone.
+/// The departure of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointLeft {
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneName,
-    /// The lease under which it is said.
+    /// The epoch of the lease under which the record is appended.
     pub epoch: Offset,
     /// The endpoint.
     pub endpoint: VmName,
-    /// How it left.
+    /// Whether the endpoint is leaving or gone.
     pub departure: Departure,
 }
 
-/// Why an order is given.
+/// The reason for which an order is issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Cause {
-    /// It is a step of the plan in force.
+    /// The order is a step of the plan in force.
     Plan,
-    /// It mends what the fleet lost.
+    /// The order replaces a lost replica or removes an untracked one.
     Repair,
-    /// It meets lasting demand, within what operators confirmed.
+    /// The order serves lasting demand, within the confirmed intent.
     Demand,
 }
 
-/// An order, written down before it is sent; its own offset is its number and fencing number.
+/// An order, appended before it is sent; the offset of the record is its number and fencing number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderIssued {
     /// The zone.
     pub zone: ZoneName,
-    /// The lease under which it is given.
+    /// The epoch of the lease under which the order is issued.
     pub epoch: Offset,
     /// The incarnation of the endpoint.
     pub incarnation: Incarnation,
-    /// Where.
+    /// The accelerator that the order applies to.
     pub place: AcceleratorRef,
-    /// What is to be done.
+    /// Whether to load or unload the model.
     pub action: Action,
-    /// To which model.
+    /// The model to load or unload.
     pub model: ModelVersion,
-    /// Its memory, in bytes.
+    /// The accelerator memory that the model takes, in bytes.
     pub bytes: u64,
-    /// Why.
+    /// The reason for the order.
     pub cause: Cause,
 }
 
-/// What became of an order.
+/// Whether an order took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
-    /// It took effect.
+    /// The order took effect.
     Done,
-    /// It did not and can't any more.
+    /// The order didn't take effect and can't any more.
     NotDone,
 }
 
-/// How the outcome of an order is known.
+/// The evidence for the outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evidence {
-    /// The endpoint answered the order itself.
+    /// The endpoint's answer to the order.
     Answered,
-    /// No byte of it left.
+    /// No byte of the order was sent.
     NeverSent,
-    /// The endpoint was fenced above the order and then looked at.
+    /// The endpoint was fenced above the order's number and then observed.
     Fenced,
-    /// The effect was seen in a report that began after the longest lag.
+    /// The effect was observed by a poll that began after the longest lag of a report.
     EffectSeen,
-    /// Its sender is gone and the longest delay of an order has passed.
+    /// The sender is gone and the longest delay of an order has passed.
     DelayPassed,
 }
 
@@ -216,63 +216,63 @@
 pub struct OrderSettled {
     /// The zone.
     pub zone: ZoneName,
-    /// The lease under which it is said.
+    /// The epoch of the lease under which the record is appended.
     pub epoch: Offset,
-    /// The order.
+    /// The offset of the order.
     pub order: Offset,
-    /// What became of it.
+    /// Whether the order took effect.
     pub outcome: Outcome,
-    /// How that is known.
+    /// The evidence for the outcome.
     pub evidence: Evidence,
 }
 
-/// A replica that a fresh look no longer showed.
+/// A replica that recent observations no longer show.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaLost {
     /// The zone.
     pub zone: ZoneName,
-    /// The lease under which it is said.
+    /// The epoch of the lease under which the record is appended.
     pub epoch: Offset,
-    /// Where it was.
+    /// The accelerator that held the replica.
     pub place: AcceleratorRef,
-    /// Which model.
+    /// The model of the replica.
     pub model: ModelVersion,
 }
 
-/// A replica that looks keep showing and that no order accounts for.
+/// A replica that observations keep showing and that no order explains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaFound {
     /// The zone.
     pub zone: ZoneName,
-    /// The lease under which it is said.
+    /// The epoch of the lease under which the record is appended.
     pub epoch: Offset,
-    /// What was found, and where.
+    /// The model and the accelerator that holds it.
     pub resident: Resident,
 }
 
-/// What stands at one place of the log.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
     /// A record.
     Record(Record),
-    /// The state up to an offset; see [`crate::replay`].
+    /// A snapshot of the state up to an offset; see [`crate::replay`].
     Snapshot {
-        /// The first offset that the state doesn't include.
+        /// The first offset that the snapshot doesn't include.
         next: Offset,
         /// The state.
         fleet: Box<crate::fleet::Fleet>,
     },
-    /// Something that this release can't read.
+    /// An entry that this release can't decode.
     Unknown,
 }
 
-/// One place of the log.
+/// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its offset.
+    /// The entry's offset.
     pub offset: Offset,
-    /// The log's time of the append.
+    /// The log time of the append.
     pub at: LogTime,
-    /// What stands there.
+    /// The entry's content.
     pub content: Content,
 }
