--- a/crates/limehollow/src/intent.rs
+++ b/crates/limehollow/src/intent.rs
@@ -1,4 +1,4 @@
-//! What operators want served, and the checks on it.
+//! Intents: the models that operators want to have served, and their validation.
 
 use crate::error::{BadIntentSnafu, Result};
 use crate::id::{ModelName, Offset, OperatorName};
@@ -7,29 +7,29 @@
 use smol_str::SmolStr;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most replicas that an intent may ask for per model.
+/// The maximum number of replicas that an intent may ask for per model.
 pub const MAX_REPLICAS: u16 = 1024;
 
-/// How much a model matters when there isn't enough for all.
+/// The importance of a model when there isn't enough capacity for all.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Is shed first.
+    /// Shed first.
     Low,
-    /// Stands between the others.
+    /// Neither placed first nor shed first.
     #[default]
     Normal,
-    /// Is placed first and shed last.
+    /// Placed first and shed last.
     High,
 }
 
 impl Priority {
-    /// All priorities, the most important first.
+    /// All priorities, the highest first.
     pub const ALL: [Self; 3] = [Self::High, Self::Normal, Self::Low];
 
-    /// Gives the word that settings and headers use.
+    /// Returns the name that is used in settings and headers.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -39,35 +39,35 @@
         }
     }
 
-    /// Reads the word that settings and headers use.
+    /// Parses the name that is used in settings and headers.
     #[must_use]
     pub fn parse(s: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|p| p.as_str() == s)
     }
 }
 
-/// A model or an adapter that is to be served.
+/// A model or an adapter to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelIntent {
-    /// The name that callers give.
+    /// The name that callers use.
     pub name: ModelName,
     /// The version to serve.
     pub version: SmolStr,
-    /// Accelerator memory that it takes, in bytes.
+    /// The accelerator memory that one replica takes, in bytes.
     pub bytes: u64,
-    /// For an adapter, the model that it needs on the same accelerator.
+    /// The base model if this is an adapter; it has to be on the same accelerator.
     pub base: Option<ModelName>,
-    /// The service that it is for, as operators name it; shown, and not otherwise used.
+    /// The service that uses the model, as operators name it. It is displayed and has no other effect.
     #[serde(default)]
     pub service: SmolStr,
-    /// How much it matters.
+    /// The importance of the model when capacity is short.
     pub priority: Priority,
-    /// How many replicas are to be ready; spread over availability zones.
+    /// The number of replicas to keep ready, spread over availability zones.
     pub replicas: u16,
 }
 
 impl ModelIntent {
-    /// Gives the model in the version that is asked for.
+    /// Returns the model in the requested version.
     #[must_use]
     pub fn model_version(&self) -> ModelVersion {
         ModelVersion {
@@ -77,12 +77,12 @@
     }
 }
 
-/// How much the two measures of the brief weigh against each other.
+/// The weights of the two objectives that are traded off: attained requests and moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Weights {
-    /// The worth of an attained request a second, in thousandths.
+    /// The value of one attained request per second, in thousandths.
     pub attainment: u32,
-    /// The price of one load or unload, in thousandths.
+    /// The cost of one load or unload, in thousandths.
     pub moves: u32,
 }
 
@@ -95,45 +95,46 @@
     }
 }
 
-/// A change to the latest intent: what an operator appends who has read that one.
+/// A change to the latest intent.
 ///
-/// It is void if another intent came in between, so of two operators who race the earlier stands and
-/// the later is told. It also keeps a change to one model small however many models there are.
+/// The record is void if another intent came in between, so if two operators race, the first change
+/// takes effect and the second gets an error. A change also keeps the record small if only one of many
+/// models differs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentChange {
-    /// The offset of the intent that it changes.
+    /// The offset of the intent that is changed.
     pub replaces: Offset,
-    /// Who publishes it.
+    /// The operator who publishes the change.
     pub operator: OperatorName,
-    /// Models that are new or different.
+    /// The models that are added or changed.
     pub set: Vec<ModelIntent>,
-    /// Models that aren't wanted any more.
+    /// The models that are removed.
     pub removed: Vec<ModelName>,
-    /// The weights from now on.
+    /// The new weights.
     pub weights: Weights,
-    /// The headroom from now on, in percent.
+    /// The new headroom, in percent.
     pub kv_headroom_percent: u8,
 }
 
-/// All that operators want served; a later intent replaces it whole.
+/// The complete set of models to serve; a later intent replaces it as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Who published it.
+    /// The operator who published the intent.
     pub operator: OperatorName,
     /// The models and adapters.
     pub models: Vec<ModelIntent>,
-    /// The weights of the two measures.
+    /// The weights of the two objectives.
     pub weights: Weights,
-    /// The share of each accelerator's memory that stays free for KV cache, in percent.
+    /// The share of each accelerator's memory that is kept free for the KV cache, in percent.
     pub kv_headroom_percent: u8,
 }
 
 impl Intent {
-    /// Checks that the intent makes sense by itself.
+    /// Validates the intent on its own, without the fleet's state.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::BadIntent`] names the model and what would be right.
+    /// Returns [`crate::Error::BadIntent`], which names the model and the valid values.
     pub fn check(&self) -> Result<()> {
         if self.kv_headroom_percent > 90 {
             return BadIntentSnafu {
@@ -178,14 +179,14 @@
         Ok(())
     }
 
-    /// Gives the part of an accelerator's memory that models may take, in bytes.
+    /// Returns the part of an accelerator's memory that models may use, in bytes.
     #[must_use]
     pub fn budget(&self, capacity: u64) -> u64 {
         let headroom = u128::from(capacity) * u128::from(self.kv_headroom_percent.min(100)) / 100;
         capacity - u64::try_from(headroom).unwrap_or(capacity)
     }
 
-    /// Gives the change that turns an earlier intent into this one.
+    /// Returns the change that turns an earlier intent into this one.
     #[must_use]
     pub fn change_from(&self, replaces: Offset, earlier: &Self) -> IntentChange {
         let old: BTreeMap<&ModelName, &ModelIntent> =
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Gives this intent with a change made to it.
+    /// Returns this intent with a change applied.
     #[must_use]
     pub fn with_change(&self, c: &IntentChange) -> Self {
         let set: BTreeMap<&ModelName, &ModelIntent> = c.set.iter().map(|m| (&m.name, m)).collect();
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Finds a model by its name.
+    /// Returns the model of the given name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&ModelIntent> {
         self.models.iter().find(|m| m.name.as_str() == name)
