--- a/crates/limehollow/src/id.rs
+++ b/crates/limehollow/src/id.rs
@@ -1,4 +1,4 @@
-//! Names, positions and keys that the other modules share.
+//! Names, log offsets and keys that are shared by the other modules.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -13,7 +13,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Gives the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -53,7 +53,7 @@
 }
 
 name! {
-    /// The name of a model or an adapter, as callers give it.
+    /// The name of a model or an adapter, as used by callers.
     ModelName
 }
 name! {
@@ -61,15 +61,15 @@
     ZoneName
 }
 name! {
-    /// The name of a region: zones that are near each other, under one law.
+    /// The name of a region: a group of nearby zones under one jurisdiction.
     RegionName
 }
 name! {
-    /// The name of a VM: an entry VM of ours or an endpoint's.
+    /// The name of a VM, which is an entry VM or an endpoint.
     VmName
 }
 name! {
-    /// The name of a plain service, as it stands in a request's path.
+    /// The name of a plain service, as used in request paths.
     ServiceName
 }
 name! {
@@ -77,10 +77,10 @@
     OperatorName
 }
 
-/// A position in the platform's log; a higher one is later.
+/// An offset in the platform's log; a higher offset is later.
 ///
-/// It doubles as the version of the configuration, as the epoch of a lease and as the fencing
-/// number of an order, since the log's order is the only arbiter (`docs/design/log-order.md`).
+/// Offsets also serve as configuration versions, lease epochs and fencing numbers of orders, since the
+/// order of the log alone decides between concurrent writers (`docs/design/log-order.md`).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -88,7 +88,7 @@
 pub struct Offset(pub u64);
 
 impl Offset {
-    /// Gives the position right after this one.
+    /// Returns the offset right after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -101,9 +101,9 @@
     }
 }
 
-/// The log service's own time of an append, in milliseconds.
+/// The log service's time of an append, in milliseconds.
 ///
-/// All processes see the same value for a record, so a rule on it gives the same verdict
+/// All processes read the same value for a record, so a rule that depends on it has the same result
 /// everywhere. It is never compared with a local clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -112,20 +112,20 @@
 pub struct LogTime(pub u64);
 
 impl LogTime {
-    /// Gives the milliseconds since an earlier time, or zero if that one is later.
+    /// Returns the milliseconds since an earlier time, or zero if `earlier` is the later one.
     #[must_use]
     pub fn millis_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// One start of a process or of an endpoint; a restart has another one.
+/// The number of one start of a process or of an endpoint; each restart has another number.
 pub type Incarnation = u64;
 
 /// The index of an accelerator on its endpoint.
 pub type AcceleratorIndex = u16;
 
 slotmap::new_key_type! {
-    /// Names an endpoint in a gateway's arena of endpoints.
+    /// The key of an endpoint in a gateway's arena of endpoints.
     pub struct EndpointKey;
 }
