--- a/crates/limehollow/src/explain.rs
+++ b/crates/limehollow/src/explain.rs
@@ -1,15 +1,15 @@
-//! Answers why something is as it is, from the log's state alone.
+//! Explanations of models, endpoints and orders for operators, derived from the log's state alone.
 
 use crate::error::{Result, UnknownSnafu};
 use crate::fleet::{Fleet, OrderState, ReplicaState};
 use crate::id::Offset;
 use crate::plan::ModelVersion;
 
-/// Explains a model: what operators want, where it is, and what is on the way.
+/// Explains a model: its intent, its replicas, and its unsettled orders.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Unknown`] if neither an intent nor an endpoint names it.
+/// Returns [`crate::Error::Unknown`] if neither the confirmed intent nor an endpoint contains the model.
 pub fn model(fleet: &Fleet, name: &str) -> Result<Vec<String>> {
     let mut lines = Vec::new();
     match fleet
@@ -66,11 +66,11 @@
     }
 }
 
-/// Explains an endpoint: since when it is as it is, what it holds, and its open order.
+/// Explains an endpoint: its presence and since when, its replicas, and its unsettled order.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Unknown`] if no such endpoint was ever seen.
+/// Returns [`crate::Error::Unknown`] if no endpoint of that name was ever recorded.
 pub fn endpoint(fleet: &Fleet, name: &str) -> Result<Vec<String>> {
     let Some(e) = fleet.endpoint(name) else {
         return UnknownSnafu {
@@ -103,11 +103,11 @@
     Ok(lines)
 }
 
-/// Explains an order: who gave it, why, and what became of it.
+/// Explains an order: its issuer, its cause, and its outcome.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Unknown`] if there is none, or it is too long past.
+/// Returns [`crate::Error::Unknown`] if there is no such order or it is no longer retained.
 pub fn order(fleet: &Fleet, offset: Offset) -> Result<Vec<String>> {
     match fleet.order(offset) {
         Some(o) => Ok(vec![order_line(offset, o)]),
