--- a/crates/limehollow/src/error.rs
+++ b/crates/limehollow/src/error.rs
@@ -1,23 +1,23 @@
-//! The one error type of the decisions.
+//! The error type of this crate.
 
 use crate::id::{LogTime, ModelName, Offset, OperatorName, VmName, ZoneName};
 use snafu::Snafu;
 
-/// What a decision gives when it can fail.
+/// The result type of this crate.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a record is void or a plan can't be made.
+/// The reason why a record is void or a plan can't be made.
 ///
-/// Ask [`Error::category`] when only the kind of reaction matters.
+/// [`Error::category`] returns the kind of reaction that an error calls for.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The record's offset isn't after the one in force.
+    /// The record's offset isn't above that of the last applied record.
     #[snafu(display("offset {got} is not after {in_force}, which is in force"))]
     StaleOffset {
         /// The record's offset.
         got: Offset,
-        /// The offset in force.
+        /// The offset of the last applied record.
         in_force: Offset,
     },
     /// The lease was taken by another holder first.
@@ -25,40 +25,40 @@
     LeaseOvertaken {
         /// The zone of the lease.
         zone: ZoneName,
-        /// The epoch that stands.
+        /// The current epoch of the lease.
         current: Offset,
     },
-    /// The sender doesn't hold the zone's lease at this point of the log.
+    /// The sender doesn't hold the zone's lease at this offset of the log.
     #[snafu(display("epoch {epoch} of zone {zone} is not the current one"))]
     NotHolder {
         /// The zone of the lease.
         zone: ZoneName,
-        /// The epoch that the record names.
+        /// The epoch given in the record.
         epoch: Offset,
     },
-    /// The plan answers an intent that a later one has replaced.
+    /// The record refers to an intent that a later one has replaced.
     #[snafu(display(
         "intent {intent} was overtaken by intent {by}, published by {operator} at {at_ms} ms",
         at_ms = at.0
     ))]
     IntentOvertaken {
-        /// The intent that the plan answers.
+        /// The offset of the intent that the record refers to, or of its plan.
         intent: Offset,
-        /// The later intent.
+        /// The offset of the later intent.
         by: Offset,
-        /// Who published the later intent.
+        /// The operator who published the later intent.
         operator: OperatorName,
-        /// When it was published.
+        /// The log time at which the later intent was published.
         at: LogTime,
     },
-    /// The plan already has its answer.
+    /// The plan is already confirmed or rejected.
     #[snafu(display("plan {plan} was already {answer} by {operator} at offset {by}"))]
     PlanAnswered {
-        /// The plan.
+        /// The offset of the plan.
         plan: Offset,
         /// "confirmed" or "rejected".
         answer: &'static str,
-        /// Who answered first.
+        /// The operator who answered first.
         operator: OperatorName,
         /// The offset of that answer.
         by: Offset,
@@ -66,68 +66,69 @@
     /// Another plan for the same intent came first.
     #[snafu(display("intent {intent} is already answered by plan {plan}"))]
     PlanExists {
-        /// The intent.
+        /// The offset of the intent.
         intent: Offset,
-        /// The plan that stands.
+        /// The offset of the first plan.
         plan: Offset,
     },
-    /// Nothing is known under that number or name.
+    /// There is nothing of the given number or name.
     #[snafu(display("there is no {what} {name}"))]
     Unknown {
-        /// What kind of thing was looked for.
+        /// The kind of object that was looked up.
         what: &'static str,
-        /// Its number or name.
+        /// The number or name that was looked up.
         name: String,
     },
-    /// The accelerator has too little memory left.
+    /// The accelerator has too little free memory.
     #[snafu(display("{endpoint}/{accelerator} has {free} bytes free, {needed} are needed"))]
     Memory {
         /// The endpoint.
         endpoint: VmName,
         /// The accelerator on it.
         accelerator: u16,
-        /// Free bytes, counting all that may be there.
+        /// The free bytes, after subtracting all replicas that may be present.
         free: u64,
         /// The bytes that the load needs.
         needed: u64,
     },
-    /// The order would take away the last replica that is surely ready.
+    /// The order would remove the last replica that is known to be ready.
     #[snafu(display("{model} has no other ready replica"))]
     LastReplica {
         /// The model.
         model: ModelName,
     },
-    /// The endpoint has an order whose outcome isn't known yet.
+    /// The endpoint has an unsettled order.
     #[snafu(display("{endpoint} has order {order} unsettled"))]
     OrderPending {
         /// The endpoint.
         endpoint: VmName,
-        /// The order in the way.
+        /// The offset of the unsettled order.
         order: Offset,
     },
-    /// A duplicate of an earlier order may still arrive at an endpoint that checks no fencing number.
+    /// A duplicate of an earlier order may still arrive at an endpoint that doesn't check fencing numbers,
+    /// or an order is settled by delay too early.
     #[snafu(display("order {order} to {endpoint} may still arrive again for {wait_ms} ms"))]
     DuplicateMayArrive {
         /// The endpoint.
         endpoint: VmName,
-        /// The earlier order.
+        /// The offset of the earlier order.
         order: Offset,
-        /// How long until it can't arrive any more, in milliseconds of the log's time.
+        /// The time until the order can't arrive any more, in milliseconds of log time.
         wait_ms: u64,
     },
-    /// An adapter's base isn't where it is needed, or still has adapters on it.
+    /// An adapter's base isn't ready on the accelerator, or a base still has adapters on it.
     #[snafu(display("{model} at {endpoint}/{accelerator} {why}"))]
     AdapterBase {
-        /// The adapter, or the base that still carries adapters.
+        /// The adapter, or the base that still has adapters on it.
         model: ModelName,
         /// The endpoint.
         endpoint: VmName,
         /// The accelerator on it.
         accelerator: u16,
-        /// What is wrong.
+        /// The problem.
         why: &'static str,
     },
-    /// The order repeats what is already so.
+    /// The order wouldn't change the replica's state.
     #[snafu(display("{model} is already in that state at {endpoint}/{accelerator}"))]
     AlreadyInState {
         /// The model.
@@ -137,19 +138,19 @@
         /// The accelerator on it.
         accelerator: u16,
     },
-    /// The order isn't part of what operators confirmed.
+    /// The model or its version isn't part of the confirmed intent.
     #[snafu(display("{model} is not part of the confirmed intent"))]
     NotConfirmed {
         /// The model.
         model: ModelName,
     },
-    /// The intent itself is wrong.
+    /// The intent is invalid.
     #[snafu(display("intent: {why}"))]
     BadIntent {
-        /// What is wrong and what would be right.
+        /// The problem and the valid values.
         why: String,
     },
-    /// The intent can't be met by the accelerators that are there.
+    /// The existing accelerators can't hold the models of the intent.
     #[snafu(display(
         "{model} needs {needed} bytes on one accelerator in {place}; the most that is free is {free}: \
          free {short} bytes there, add an accelerator, or lower its replicas",
@@ -158,38 +159,38 @@
     Unsatisfiable {
         /// The model that doesn't fit.
         model: ModelName,
-        /// Where it was to go.
+        /// The zone or accelerators that were tried.
         place: String,
-        /// Bytes that it needs on one accelerator.
+        /// The bytes that the model needs on one accelerator.
         needed: u64,
-        /// The largest free room there.
+        /// The most free bytes on any of these accelerators.
         free: u64,
     },
-    /// There is no order of steps within the memory.
+    /// No order of steps fits in memory and keeps all models reachable.
     #[snafu(display("no order of steps keeps {model} reachable within the memory of {endpoint}"))]
     NoStepOrder {
-        /// The model that would be cut.
+        /// The model that would become unreachable.
         model: ModelName,
-        /// The endpoint that is short.
+        /// The endpoint without enough memory.
         endpoint: VmName,
     },
 }
 
-/// The kinds of reaction that an [`Error`] asks for.
+/// The kind of reaction that an [`Error`] calls for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Category {
-    /// Another one was first; read on and decide anew.
+    /// Another record came first: read the log and decide again.
     Overtaken,
-    /// A promise would break now; it may be right later.
+    /// The record would violate an invariant now, but may be valid later.
     NotYet,
-    /// The input is wrong and stays so.
+    /// The input is invalid, and a retry can't succeed.
     Invalid,
     /// The fleet is too small for the intent.
     Unsatisfiable,
 }
 
 impl Error {
-    /// Gives the kind of reaction that this error asks for.
+    /// Returns the kind of reaction that this error calls for.
     #[must_use]
     pub fn category(&self) -> Category {
         match self {
