--- a/crates/limehollow/src/catalog.rs
+++ b/crates/limehollow/src/catalog.rs
@@ -1,7 +1,7 @@
-//! The configuration that operators keep: which requests go where, and what the services can do.
+//! The operators' configuration: routing rules, services and limits.
 //!
-//! A catalog is the confirmed intent of a site whose operators publish configurations whole. It is
-//! swapped as one value, and never for an older one (`docs/design/system.md`).
+//! A catalog is a complete configuration, as published by the operators of a site. It is replaced as one
+//! value, and never by an older one (`docs/design/system.md`).
 
 use crate::id::{RegionName, ServiceName};
 use crate::retry::Repeat;
@@ -11,50 +11,51 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// What an operator wants of the requests of one kind.
+/// A routing rule: the services and the limits for requests with a given host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rule {
-    /// The rule's name, for log lines.
+    /// The rule's name, used in log lines.
     pub name: SmolStr,
-    /// The host that callers name, in lower case.
+    /// The host of the requests, in lower case.
     pub host: SmolStr,
-    /// How the path begins; starts and ends with a slash.
+    /// The path prefix of the requests; starts and ends with a slash.
     pub prefix: SmolStr,
-    /// The services that requests go to, each with its share.
+    /// The services that receive the requests, with their weights.
     pub shares: Vec<Share>,
     /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub stream: bool,
-    /// Whether a stream may be continued by another endpoint.
+    /// Whether another endpoint may continue an interrupted stream.
     pub resumable: bool,
-    /// How long a request may be held at most.
+    /// The maximum time that a request may take.
     pub timeout: Duration,
-    /// Until when an answer is worth its full value; for streams, its first event.
+    /// The time within which a response has its full value; for streams, the time to the first event.
     pub objective: Duration,
-    /// The longest pause between events that keeps a stream in time.
+    /// The longest pause between two events with which a stream still meets its objective.
     pub pause: Option<Duration>,
     /// The rank of the requests; 0 is the most urgent.
     pub rank: u8,
-    /// How many endpoints one request may be sent to at most.
+    /// The maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key, also where there are workspaces.
+    /// Whether requests need no key even if there are workspaces.
     pub open: bool,
-    /// The regions in which a request may run; any where none is named.
+    /// The regions in which a request may run; all regions if empty.
     pub homes: Vec<RegionName>,
 }
 
-/// A service's part of a rule's requests.
+/// A service's share of a rule's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the rule's shares.
+    /// The weight of the service among the rule's shares.
     pub weight: u32,
 }
 
 impl Rule {
-    /// Picks the service for a request, by its hash, so that each share gets its part.
+    /// Returns the service for a request. The choice depends on the request's hash, in proportion to the
+    /// weights.
     #[must_use]
     pub fn service(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
@@ -84,84 +85,84 @@
     pub adapters: Vec<SmolStr>,
     /// The size of one of its adapters in megabytes.
     pub adapter_megabytes: f64,
-    /// How long a load from the weight store takes.
+    /// The duration of a load from the weight store.
     pub cold_load: Duration,
 }
 
-/// What the endpoints of a service that runs models can hold and do.
+/// The capacity of each endpoint of a service that runs models.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that an endpoint runs at once.
+    /// The number of requests that an endpoint runs concurrently.
     pub slots: u32,
-    /// Tokens that an endpoint's memory holds.
+    /// The number of tokens that fit in an endpoint's KV cache.
     pub kv_tokens: u32,
-    /// Megabytes for weights and adapters together.
+    /// The memory for weights and adapters together, in megabytes.
     pub megabytes: f64,
-    /// Adapters that an endpoint holds at most.
+    /// The maximum number of adapters on an endpoint.
     pub adapter_places: usize,
-    /// Loads from the weight store that may begin in a second, over all endpoints.
+    /// The number of loads from the weight store that may begin per second, over all endpoints.
     pub loads_per_second: f64,
-    /// The models.
+    /// The models by name.
     pub models: BTreeMap<SmolStr, ModelSpec>,
 }
 
-/// One service.
+/// The configuration of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// The path of its health check.
     pub health_path: SmolStr,
-    /// Connections that one of its endpoints takes, from all callers together.
+    /// The maximum number of connections to one endpoint, over all callers.
     pub max_connections: u32,
-    /// What its endpoints can hold, if they run models.
+    /// The capacity of the endpoints, if they run models.
     pub engine: Option<EngineSpec>,
-    /// What they bear after a start, if that is less than later.
+    /// The reduced capacity of the endpoints after a start, if any.
     pub cold: Option<ColdSpec>,
 }
 
-/// What an endpoint bears while it is cold.
+/// The capacity of an endpoint while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdSpec {
-    /// For how long it is cold after a start.
+    /// How long an endpoint is cold after a start.
     pub start: Duration,
-    /// The requests a second that it takes meanwhile, of all VMs together.
+    /// The requests per second that a cold endpoint accepts, over all VMs.
     pub rate: f64,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size and the duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// The maximum time for receiving a request's head.
     pub head_timeout: Duration,
-    /// How long a connection may be at rest.
+    /// The maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Rises with each change.
+    /// The version, which increases with each change.
     pub version: u64,
     /// The services by name.
     pub services: BTreeMap<ServiceName, ServiceSpec>,
-    /// What callers may do.
+    /// The limits on callers' requests.
     pub limits: CallerLimits,
-    /// Who callers are; where there are none, no request needs a key.
+    /// The workspaces and their keys. If there are none, no request needs a key.
     pub workspaces: Workspaces,
     rules: Vec<Rule>,
-    /// The rules of each host, those with the longest prefix first.
+    /// The indices into `rules` for each host, longest prefix first.
     by_host: HashMap<SmolStr, Vec<usize>>,
     /// The shortest objective of each service's rules.
     tightest: BTreeMap<ServiceName, Duration>,
-    /// The shortest pause that each service's rules allow.
+    /// The shortest pause among each service's rules.
     pauses: BTreeMap<ServiceName, Duration>,
 }
 
 impl Catalog {
-    /// Makes a catalog from its parts.
+    /// Creates a catalog without workspaces.
     #[must_use]
     pub fn new(
         version: u64,
@@ -200,19 +201,19 @@
         }
     }
 
-    /// Gives the same catalog with these workspaces.
+    /// Returns the same catalog with the given workspaces.
     #[must_use]
     pub fn with_workspaces(self, workspaces: Workspaces) -> Self {
         Self { workspaces, ..self }
     }
 
-    /// Tells whether requests of a rule need a key.
+    /// Returns `true` if requests of a rule need a key.
     #[must_use]
     pub fn needs_key(&self, rule: &Rule) -> bool {
         !rule.open && !self.workspaces.is_empty()
     }
 
-    /// Gives the rule for a request: of its host's rules, the one with the longest prefix that fits.
+    /// Returns the rule for a request: among the rules of its host, the one with the longest matching prefix.
     #[must_use]
     pub fn rule(&self, host: &str, path: &str) -> Option<&Rule> {
         let host = host.to_ascii_lowercase();
@@ -221,25 +222,25 @@
         rules.find(|r| path.starts_with(r.prefix.as_str()))
     }
 
-    /// Gives the shortest pause that the rules allow which go to a service.
+    /// Returns the shortest pause among the rules that route to a service.
     #[must_use]
     pub fn shortest_pause(&self, service: &ServiceName) -> Option<Duration> {
         self.pauses.get(service).copied()
     }
 
-    /// Gives the shortest objective among the rules that go to a service.
+    /// Returns the shortest objective among the rules that route to a service.
     #[must_use]
     pub fn shortest_objective(&self, service: &ServiceName) -> Option<Duration> {
         self.tightest.get(service).copied()
     }
 
-    /// Gives all rules.
+    /// Returns all rules.
     #[must_use]
     pub fn rules(&self) -> &[Rule] {
         &self.rules
     }
 
-    /// Gives what the endpoints of a service can hold, if it runs models.
+    /// Returns the capacity of a service's endpoints, if the service runs models.
     #[must_use]
     pub fn engine(&self, service: &ServiceName) -> Option<&EngineSpec> {
         self.services.get(service)?.engine.as_ref()
