--- a/crates/limehollow/src/lib.rs
+++ b/crates/limehollow/src/lib.rs
@@ -1,29 +1,29 @@
-//! The decisions of limehollow, without input or output.
+//! The decision logic of limehollow, free of I/O.
 //!
-//! Everything that has to hold is decided in this crate by plain calls: events and the time go in,
-//! commands come out. There is no socket, task, lock or log line here, so a test, a bench or a
-//! process drives the same code. The reasons behind the parts are in `docs/design/`.
+//! All decisions are made in this crate by plain function calls: events and the current time are the
+//! inputs, commands are the outputs. There is no socket, task, lock or log line here, so tests, benchmarks
+//! and processes run the same code. The design is explained in `docs/design/`.
 //!
-//! # A short tour
+//! # Overview
 //!
-//! * [`fleet::Fleet`] is the state that the platform's log agrees on. Each process folds the same
-//!   records in the same order and so reaches the same state; a record that would break a promise
-//!   is void for everybody (`docs/design/log-order.md`).
+//! * [`fleet::Fleet`] is the replicated state that is driven by the platform's log. Each process applies
+//!   the same records in the same order and so reaches the same state; a record that would violate an
+//!   invariant is void for every process (`docs/design/log-order.md`).
 //! * [`placement`] turns an [`intent::Intent`] into a [`plan::Plan`] whose steps fit in memory.
-//! * [`lease`], [`membership`] and [`order`] drive a controller.
-//! * [`routing`], [`admission`], [`retry`], [`claim`] and [`verdict`] drive a gateway.
-//! * [`fingerprint`], [`crash_watch`], [`crash_record`] and [`quarantine`] find out which requests crash the endpoints that run
-//!   them (`docs/design/crashing-requests.md`).
-//! * [`workspace`], [`confirmation`] and [`quota`] say who callers are, for how long a key counts and what a workspace may use
-//!   (`docs/design/workspaces.md`).
-//! * [`backpressure`] is what endpoints say of what they want to be sent (`docs/design/backpressure.md`).
-//! * [`start_tree`] says from whom a VM that starts gets what the others know (`docs/design/fleet.md`).
-//! * [`send_budget`] bounds what VMs say to each other (`docs/design/overload.md`).
-//! * [`log_position`] says how far somebody has read what the platform's store keeps, which may come back from a copy
+//! * [`lease`], [`membership`] and [`order`] make the decisions of a controller.
+//! * [`routing`], [`admission`], [`retry`], [`claim`] and [`verdict`] make the decisions of a gateway.
+//! * [`fingerprint`], [`crash_watch`], [`crash_record`] and [`quarantine`] detect requests that crash the
+//!   endpoints that run them (`docs/design/crashing-requests.md`).
+//! * [`workspace`], [`confirmation`] and [`quota`] identify callers, bound how long a key stays valid without
+//!   confirmation, and enforce the quotas of workspaces (`docs/design/workspaces.md`).
+//! * [`backpressure`] tracks the limits and pauses that endpoints ask for (`docs/design/backpressure.md`).
+//! * [`start_tree`] selects the VM from which a starting VM fetches the shared state (`docs/design/fleet.md`).
+//! * [`send_budget`] limits the messages between VMs (`docs/design/overload.md`).
+//! * [`log_position`] is a reader's position in the platform's store, which may be restored from a copy
 //!   (`docs/design/store-eras.md`).
 //! * [`catalog`], [`instance`], [`roster`], [`job`], [`balance`], [`retry_window`], [`arrivals`], [`candidacy`],
-//!   [`group_lease`], [`late_loads`], [`load_window`], [`order_book`] and [`rebalance`] drive the process of a site whose platform keeps configuration and
-//!   endpoints (`docs/design/system.md`).
+//!   [`group_lease`], [`late_loads`], [`load_window`], [`order_book`] and [`rebalance`] make the decisions of a VM
+//!   in a site whose platform stores the configuration and the endpoints (`docs/design/system.md`).
 //!
 //! ```
 //! use limehollow::fleet::Fleet;
