--- a/crates/limehollow/src/backpressure.rs
+++ b/crates/limehollow/src/backpressure.rs
@@ -16,8 +16,8 @@
 //! let mut keys: SlotMap<EndpointKey, ()> = SlotMap::with_key();
 //! let (now, key) = (Instant::now(), keys.insert(()));
 //! let mut b = Backpressure::default();
-//! let s = Signals { rate: RateSignal::Named(2.5), rest: Some(Duration::from_secs(3)), ..Signals::default() };
-//! b.hear(now, key, now, s);
+//! let s = Signals { rate: RateSignal::Named(2.5), backoff: Some(Duration::from_secs(3)), ..Signals::default() };
+//! b.observe(now, key, now, s);
 //! assert_eq!(b.rate(key), Some(2.5));
 //! assert_eq!(b.opens_in(now, key), Some(Duration::from_secs(3)));
 //! ```
--- a/crates/limehollow/src/instance.rs
+++ b/crates/limehollow/src/instance.rs
@@ -15,8 +15,8 @@
 ///
 /// let first = Instance { id: "i-1".into(), born: Some(1_000) };
 /// let second = Instance { id: "i-1".into(), born: Some(2_000) };
-/// assert_eq!(second.against(&first), Start::Later);
-/// assert_eq!(Instance::from("i-1").against(&first), Start::Same);
+/// assert_eq!(second.compare(&first), Start::Later);
+/// assert_eq!(Instance::from("i-1").compare(&first), Start::Same);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Instance {
--- a/crates/limehollow/src/quota.rs
+++ b/crates/limehollow/src/quota.rs
@@ -28,7 +28,7 @@
 //! assert!(!mine.acquire(later, "bookkeeping", 600.0));
 //! // Another VM hands over what it has earned.
 //! mine.begin_round(later);
-//! let more = theirs.hand_over(later, "bookkeeping", &"vm-1".into()).unwrap();
+//! let more = theirs.transfer(later, "bookkeeping", &"vm-1".into()).unwrap();
 //! mine.credit(later, "bookkeeping", more);
 //! assert!(mine.acquire(later, "bookkeeping", 600.0));
 //! ```
