--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -104,7 +104,7 @@
         let now = self.site.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget.set_rate(now, rate);
-        budget.take(now, bytes, urgency)
+        budget.try_spend(now, bytes, urgency)
     }
 }
 
--- a/crates/limehollow/src/send_budget.rs
+++ b/crates/limehollow/src/send_budget.rs
@@ -10,9 +10,9 @@
 //!
 //! let now = Instant::now();
 //! let mut budget = SendBudget::new(now, 10_000.0);
-//! assert!(budget.take(now, 3_000, Urgency::Periodic));
-//! assert!(!budget.take(now, 3_000, Urgency::Periodic));
-//! assert!(budget.take(now, 1_500, Urgency::Answer));
+//! assert!(budget.try_spend(now, 3_000, Urgency::Periodic));
+//! assert!(!budget.try_spend(now, 3_000, Urgency::Periodic));
+//! assert!(budget.try_spend(now, 1_500, Urgency::Answer));
 //! ```
 
 use std::time::Duration;
@@ -75,7 +75,7 @@
     }
 
     /// Takes what a datagram needs, if there is so much left for its urgency.
-    pub fn take(&mut self, now: Instant, bytes: usize, urgency: Urgency) -> bool {
+    pub fn try_spend(&mut self, now: Instant, bytes: usize, urgency: Urgency) -> bool {
         self.earn(now);
         #[expect(clippy::cast_precision_loss, reason = "a datagram is small")]
         let bytes = bytes as f64;
--- a/crates/limehollow/tests/send_budget.rs
+++ b/crates/limehollow/tests/send_budget.rs
@@ -16,7 +16,7 @@
     for i in 0..seconds * 1000 {
         let now = began + STEP * i;
         for (sum, (urgency, copies)) in went.iter_mut().zip(per_step) {
-            let taken = (0..*copies).filter(|_| budget.take(now, DATAGRAM, *urgency));
+            let taken = (0..*copies).filter(|_| budget.try_spend(now, DATAGRAM, *urgency));
             *sum += taken.count() * DATAGRAM;
         }
     }
@@ -48,9 +48,12 @@
     let mut budget = SendBudget::new(began, RATE);
     for i in 0..2000 {
         let now = began + STEP * i;
-        while budget.take(now, DATAGRAM, Urgency::Change) {}
+        while budget.try_spend(now, DATAGRAM, Urgency::Change) {}
         if i % 80 == 0 {
-            assert!(budget.take(now, DATAGRAM, Urgency::Answer), "after {i} ms");
+            assert!(
+                budget.try_spend(now, DATAGRAM, Urgency::Answer),
+                "after {i} ms"
+            );
         }
     }
 }
@@ -60,6 +63,6 @@
     let now = Instant::now();
     let mut budget = SendBudget::new(now, RATE);
     budget.set_rate(now, RATE / 100.0);
-    assert!(!budget.take(now, DATAGRAM, Urgency::Answer));
-    assert!(budget.take(now + Duration::from_secs(1), 400, Urgency::Answer));
+    assert!(!budget.try_spend(now, DATAGRAM, Urgency::Answer));
+    assert!(budget.try_spend(now + Duration::from_secs(1), 400, Urgency::Answer));
 }
