--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -278,7 +278,7 @@
     let mut known = site.known();
     known.learn(&vm);
     let (who, position) = ((vm.address, vm.millicores), known.positions.endpoints);
-    let giver = known.start_tree.place(now, &vm.zone, who, position);
+    let giver = known.start_tree.assign_parent(now, &vm.zone, who, position);
     if known.listed.get(&vm.name) != Some(&vm) {
         known.unlisted.insert(vm.name.clone(), vm);
         site.vm_unlisted.notify_one();
--- a/crates/limehollow/src/start_tree.rs
+++ b/crates/limehollow/src/start_tree.rs
@@ -15,10 +15,10 @@
 //! let mut tree = StartTree::default();
 //! let vm = |n: u8| std::net::SocketAddr::from(([10, 0, 0, n], 7000));
 //! let read_to = LogPosition::new(0, 7);
-//! assert_eq!(tree.place(now, &"a".into(), (vm(1), 250), read_to), Parent::AskedVm);
-//! assert_eq!(tree.place(now, &"a".into(), (vm(2), 250), read_to), Parent::Other(vm(1)));
+//! assert_eq!(tree.assign_parent(now, &"a".into(), (vm(1), 250), read_to), Parent::AskedVm);
+//! assert_eq!(tree.assign_parent(now, &"a".into(), (vm(2), 250), read_to), Parent::Other(vm(1)));
 //! // Another zone has a tree of its own: the state crosses to it once.
-//! assert_eq!(tree.place(now, &"b".into(), (vm(3), 250), read_to), Parent::AskedVm);
+//! assert_eq!(tree.assign_parent(now, &"b".into(), (vm(3), 250), read_to), Parent::AskedVm);
 //! ```
 
 use crate::id::ZoneName;
@@ -111,7 +111,7 @@
     ///
     /// One that asks again got nothing from its parent, and is sent to the parent's parent. `position` is how far the list has been read by
     /// the VM that is asked: once it has read on, those that ask miss something else, and there is a new tree for them.
-    pub fn place(
+    pub fn assign_parent(
         &mut self,
         now: Instant,
         zone: &ZoneName,
--- a/crates/limehollow/tests/start_tree.rs
+++ b/crates/limehollow/tests/start_tree.rs
@@ -19,7 +19,7 @@
 fn place(tree: &mut StartTree, now: Instant, vms: u16) -> Vec<Parent> {
     let numbers = 1..=vms;
     numbers
-        .map(|n| tree.place(now, &"a".into(), (vm(n), 250), at(7)))
+        .map(|n| tree.assign_parent(now, &"a".into(), (vm(n), 250), at(7)))
         .collect()
 }
 
@@ -54,7 +54,7 @@
     place(&mut tree, now, 30);
     let mut givers = Vec::new();
     while givers.last() != Some(&Parent::AskedVm) {
-        givers.push(tree.place(now, &"a".into(), (vm(30), 250), at(7)));
+        givers.push(tree.assign_parent(now, &"a".into(), (vm(30), 250), at(7)));
         assert!(givers.len() < 6, "{givers:?}");
     }
     // The parent of the 30th is the eighth, whose own is the second.
@@ -70,7 +70,7 @@
     place(&mut tree, now, 5);
     let later = now + Duration::from_secs(11);
     assert_eq!(
-        tree.place(later, &"a".into(), (vm(9), 250), at(7)),
+        tree.assign_parent(later, &"a".into(), (vm(9), 250), at(7)),
         Parent::AskedVm
     );
 }
@@ -82,7 +82,9 @@
     let mut weak_parents = 0;
     for n in 1..=400 {
         let millicores = if n % 3 == 0 { 1000 } else { 120 };
-        if let Parent::Other(parent) = tree.place(now, &"a".into(), (vm(n), millicores), at(7)) {
+        if let Parent::Other(parent) =
+            tree.assign_parent(now, &"a".into(), (vm(n), millicores), at(7))
+        {
             weak_parents += usize::from(parent.port() % 3 != 0);
         }
     }
@@ -95,9 +97,9 @@
     let (mut tree, now) = (StartTree::default(), Instant::now());
     place(&mut tree, now, 30);
     assert_eq!(
-        tree.place(now, &"a".into(), (vm(30), 250), at(8)),
+        tree.assign_parent(now, &"a".into(), (vm(30), 250), at(8)),
         Parent::AskedVm
     );
-    let next = tree.place(now, &"a".into(), (vm(29), 250), at(8));
+    let next = tree.assign_parent(now, &"a".into(), (vm(29), 250), at(8));
     assert_eq!(next, Parent::Other(vm(30)));
 }
