--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -511,7 +511,7 @@
 
 /// Gives what a VM of this zone says of the lease, for the other zones.
 fn zone_notice(now: Instant, known: &Known) -> Option<LeaseNotice> {
-    let heard = known.candidacy.fresh(now);
+    let heard = known.candidacy.recent_notice(now);
     let here = heard.filter(|w| known.peers.is_in_own_zone(&w.vm));
     here.map(|w| said(now, w))
 }
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -53,7 +53,7 @@
     let now = site.now();
     let mut known = site.known();
     known.is_starting = false;
-    if known.candidacy.fresh(now).is_none() {
+    if known.candidacy.recent_notice(now).is_none() {
         known.candidacy.restart(now);
     }
 }
--- a/crates/limehollow/src/candidacy.rs
+++ b/crates/limehollow/src/candidacy.rs
@@ -57,13 +57,13 @@
     /// Gives the VM that holds the lease, as far as was heard lately.
     #[must_use]
     pub fn holder(&self, now: Instant) -> Option<&SmolStr> {
-        let notice = self.fresh(now)?;
+        let notice = self.recent_notice(now)?;
         notice.holds.then_some(&notice.vm)
     }
 
     /// Gives the last notice of the holder, or of who resigned, while it is fresh.
     #[must_use]
-    pub fn fresh(&self, now: Instant) -> Option<&Notice> {
+    pub fn recent_notice(&self, now: Instant) -> Option<&Notice> {
         let (at, notice) = self.last.as_ref()?;
         (now.duration_since(*at) < HOLDER_TIMEOUT).then_some(notice)
     }
@@ -119,7 +119,7 @@
     #[must_use]
     pub fn predecessor(&self, now: Instant, fence: u64) -> Predecessor {
         let direct = |w: &Notice| fence > w.fence && fence <= w.fence + DIRECT;
-        let resigned = self.fresh(now).filter(|w| !w.holds && direct(w));
+        let resigned = self.recent_notice(now).filter(|w| !w.holds && direct(w));
         resigned.map_or(Predecessor::Unknown, |w| {
             w.last_order.map_or(Predecessor::Idle, Predecessor::Ordered)
         })
