--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -216,7 +216,7 @@
     for request in known.quarantine.sweep(now) {
         tracing::info!(%request, "a quarantined request is forgotten");
         if known.peers.is_zone_leader(now) {
-            known.quarantine.save(request);
+            known.quarantine.mark_unsaved(request);
         }
     }
 }
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -481,7 +481,7 @@
             self.log_quarantined(now, r.request, by);
             if self.peers.is_zone_leader(now) {
                 // Which VM's word was the last one needed is another one on each VM.
-                self.quarantine.save(r.request);
+                self.quarantine.mark_unsaved(r.request);
             }
         }
         outcome.is_news
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -244,7 +244,7 @@
         tracing::warn!(era, "the store has come back from a copy");
         self.metrics.store_returns.inc();
         if known.peers.is_zone_leader(now) {
-            known.quarantine.save_all(now);
+            known.quarantine.mark_all_unsaved(now);
             drop(known);
             self.quarantine_unsaved.notify_one();
         }
--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -246,10 +246,10 @@
 /// Commands.
 impl Quarantine {
     /// Has all quarantined requests kept again: the platform's store has lost what was written there lately.
-    pub fn save_all(&mut self, now: Instant) {
+    pub fn mark_all_unsaved(&mut self, now: Instant) {
         let all: Vec<Fingerprint> = self.quarantined(now).map(|(request, ..)| request).collect();
         for request in all {
-            self.save(request);
+            self.mark_unsaved(request);
         }
     }
 
@@ -461,7 +461,7 @@
     }
 
     /// Notes that a request's quarantine, or its end, is to be kept outside this process.
-    pub fn save(&mut self, request: Fingerprint) {
+    pub fn mark_unsaved(&mut self, request: Fingerprint) {
         self.unsaved.insert(request);
     }
 
