--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -286,7 +286,7 @@
     /// Gives the time between two reads of the VM that reads for its zone.
     fn read_every(&self, pace: ReadPace) -> Duration {
         let keys = self.f.site.settings.load().key_bound();
-        keys.map_or(pace.every(), |b| pace.every().min(b.read_every()))
+        keys.map_or(pace.interval(), |b| pace.interval().min(b.read_every()))
     }
 
     fn pace(&self) -> Option<ReadPace> {
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -155,7 +155,7 @@
         };
         let pace = self.pace();
         let due = if known.peers.is_zone_reader(self.f.site.now()) {
-            began + pace.every()
+            began + pace.interval()
         } else {
             freshness.complete_at() + pace.stale_after(self.luck) + patience
         };
@@ -258,7 +258,7 @@
 
     /// Gives how long a call may take: longer after failures, since the store may only be slow.
     fn answer_within(&self) -> Duration {
-        let limit = self.pace().answer_within() * 2_u32.saturating_pow(self.failures.min(8));
+        let limit = self.pace().call_timeout() * 2_u32.saturating_pow(self.failures.min(8));
         limit.min(LONGEST_ANSWER)
     }
 
@@ -275,7 +275,7 @@
     }
 
     async fn fetch(&mut self) {
-        let limit = self.pace().answer_within() * 2;
+        let limit = self.pace().call_timeout() * 2;
         // A state that doesn't come in time is asked for again when a message shows who is ahead.
         if let Ok(Some(state)) = timeout(limit, self.f.fetch_ahead()).await {
             self.next = self.f.take_state(state).or(self.next);
--- a/crates/limehollow-node/src/reading.rs
+++ b/crates/limehollow-node/src/reading.rs
@@ -100,7 +100,7 @@
         let has_failed = row.failed.take().is_some_and(|t| t > complete_at);
         let is_long = began.saturating_duration_since(complete_at) > longest_gap;
         row.own = Some(began);
-        row.freshness = row.freshness.read(began, has_failed || is_long);
+        row.freshness = row.freshness.after_read(began, has_failed || is_long);
     }
 
     /// Notes that a read failed that began at this moment.
--- a/crates/limehollow/src/freshness.rs
+++ b/crates/limehollow/src/freshness.rs
@@ -68,7 +68,7 @@
     /// Gives the freshness after a read of one's own that began at this moment. Where there was a break before, the
     /// store is known to be sound only from here on.
     #[must_use]
-    pub fn read(self, began: Instant, was_broken: bool) -> Self {
+    pub fn after_read(self, began: Instant, was_broken: bool) -> Self {
         Self {
             complete_at: self.complete_at.max(began),
             healthy_since: if was_broken {
@@ -153,7 +153,7 @@
 
     /// Gives the time between two reads of the VM that reads for its zone.
     #[must_use]
-    pub fn every(&self) -> Duration {
+    pub fn interval(&self) -> Duration {
         self.bound.mul_f64(self.every)
     }
 
@@ -165,7 +165,7 @@
 
     /// Gives how long a call that doesn't wait may take before it is given up.
     #[must_use]
-    pub fn answer_within(&self) -> Duration {
+    pub fn call_timeout(&self) -> Duration {
         self.bound.mul_f64(ANSWER)
     }
 
--- a/crates/limehollow/tests/freshness.rs
+++ b/crates/limehollow/tests/freshness.rs
@@ -14,7 +14,7 @@
 #[tokio::test]
 async fn read_complete_as_of_its_begin() {
     let t = Instant::now();
-    let f = Freshness::first(t).read(at(t, 500), false);
+    let f = Freshness::first(t).after_read(at(t, 500), false);
     assert_eq!(f.age(at(t, 700)), Duration::from_millis(200));
     assert_eq!(f.healthy_since(), t);
 }
@@ -22,7 +22,7 @@
 #[tokio::test]
 async fn read_after_a_break_begins_a_new_span() {
     let t = Instant::now();
-    let f = Freshness::first(t).read(at(t, 500), true);
+    let f = Freshness::first(t).after_read(at(t, 500), true);
     assert_eq!(f.healthy_since(), at(t, 500));
 }
 
@@ -39,7 +39,7 @@
 async fn meet_who_had_no_break_shows_that_the_store_went_on() {
     // A VM that alone had lost the store until 800, beside one that read on all the time.
     let t = Instant::now();
-    let mine = Freshness::first(t).read(at(t, 800), true);
+    let mine = Freshness::first(t).after_read(at(t, 800), true);
     let other = Freshness::new(at(t, 900), t);
     assert_eq!(mine.merge(other, true, GAP).healthy_since(), t);
 }
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn meet_who_has_just_started_is_no_outage() {
     let t = Instant::now();
-    let mine = Freshness::first(t).read(at(t, 5000), false);
+    let mine = Freshness::first(t).after_read(at(t, 5000), false);
     let other = Freshness::first(at(t, 5800));
     for has_all in [false, true] {
         assert_eq!(mine.merge(other, has_all, GAP).healthy_since(), t);
@@ -91,9 +91,9 @@
     for ms in [2000, 3000, 4000] {
         let bound = Duration::from_millis(ms);
         let pace = ReadPace::list(bound);
-        let worst = pace.stale_after(1.0) + pace.answer_within() * 2;
+        let worst = pace.stale_after(1.0) + pace.call_timeout() * 2;
         assert!(worst + Duration::from_millis(100) <= bound, "{worst:?}");
-        let told = pace.every() + Duration::from_millis(240);
+        let told = pace.interval() + Duration::from_millis(240);
         assert!(told <= pace.stale_after(0.0), "{told:?}");
     }
 }
