--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -176,7 +176,7 @@
             p.unanswered += 1;
             return ControlFlow::Continue(());
         };
-        if !p.check.is_same(r.born, r.orders_taken) {
+        if !p.check.observe(r.born, r.orders_taken) {
             self.tell_start(&r);
             return MoveEnd::failed("the endpoint has started again");
         }
@@ -340,7 +340,7 @@
     /// Reads what the endpoint reports; none if it doesn't, or has started again.
     async fn read_book(&self, check: &mut StartCheck) -> Option<OrderBook> {
         let r = self.report().await?;
-        if check.is_same(r.born, r.orders_taken) {
+        if check.observe(r.born, r.orders_taken) {
             return Some(OrderBook::from(r));
         }
         self.tell_start(&r);
--- a/crates/limehollow/src/instance.rs
+++ b/crates/limehollow/src/instance.rs
@@ -11,12 +11,12 @@
 /// One start of an endpoint.
 ///
 /// ```
-/// use limehollow::instance::{Instance, Start};
+/// use limehollow::instance::{Instance, StartOrder};
 ///
 /// let first = Instance { id: "i-1".into(), born: Some(1_000) };
 /// let second = Instance { id: "i-1".into(), born: Some(2_000) };
-/// assert_eq!(second.compare(&first), Start::Later);
-/// assert_eq!(Instance::from("i-1").compare(&first), Start::Same);
+/// assert_eq!(second.compare(&first), StartOrder::Later);
+/// assert_eq!(Instance::from("i-1").compare(&first), StartOrder::Same);
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Instance {
@@ -47,12 +47,12 @@
 
     /// Takes in the next report that was read from the endpoint itself, one after the other. Gives whether it is of the
     /// same start.
-    pub fn is_same(&mut self, born: Option<u64>, orders_taken: u64) -> bool {
+    pub fn observe(&mut self, born: Option<u64>, orders_taken: u64) -> bool {
         let reporting = Instance {
             id: self.instance.id.clone(),
             born,
         };
-        if reporting.compare(&self.instance) != Start::Same || orders_taken < self.counted {
+        if reporting.compare(&self.instance) != StartOrder::Same || orders_taken < self.counted {
             return false;
         }
         self.instance.born = self.instance.born.or(born);
@@ -63,7 +63,7 @@
 
 /// How two starts with the same id follow on each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartOrder {
     /// It is the same start, or one of them doesn't say when it was.
     Same,
     /// The start is a later one.
@@ -75,18 +75,18 @@
 impl Instance {
     /// Compares this start with another one of the same id.
     #[must_use]
-    pub fn compare(&self, other: &Self) -> Start {
+    pub fn compare(&self, other: &Self) -> StartOrder {
         match (self.born, other.born) {
-            (Some(mine), Some(theirs)) if mine > theirs => Start::Later,
-            (Some(mine), Some(theirs)) if mine < theirs => Start::Earlier,
-            _ => Start::Same,
+            (Some(mine), Some(theirs)) if mine > theirs => StartOrder::Later,
+            (Some(mine), Some(theirs)) if mine < theirs => StartOrder::Earlier,
+            _ => StartOrder::Same,
         }
     }
 
     /// Tells whether both name the same start, as far as they say.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
-        self.id == other.id && self.compare(other) == Start::Same
+        self.id == other.id && self.compare(other) == StartOrder::Same
     }
 }
 
--- a/crates/limehollow/src/late_loads.rs
+++ b/crates/limehollow/src/late_loads.rs
@@ -6,7 +6,7 @@
 //! it can't come any more (`docs/design/system.md`, "Endpoints that start again").
 
 use crate::catalog::EngineSpec;
-use crate::instance::{Instance, Start};
+use crate::instance::{Instance, StartOrder};
 use crate::order_book::OrderBook;
 use crate::roster::{ModelRef, holds};
 use smol_str::SmolStr;
@@ -62,7 +62,7 @@
                 now.duration_since(l.ordered) < LATE_FOR && l.expected >= book.orders_taken;
             // Counts rise within a start, so one below the order's shows a later start too.
             let is_other_start =
-                reporting.compare(&l.to) == Start::Later || book.orders_taken < l.expected;
+                reporting.compare(&l.to) == StartOrder::Later || book.orders_taken < l.expected;
             if !is_due
                 || !is_other_start
                 || l.subject == *loading
--- a/crates/limehollow/src/roster.rs
+++ b/crates/limehollow/src/roster.rs
@@ -8,7 +8,7 @@
 //! of the former one, here and elsewhere, goes with the former key.
 
 use crate::id::{EndpointKey, ServiceName, ZoneName};
-use crate::instance::{Instance, Start};
+use crate::instance::{Instance, StartOrder};
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
 use smol_str::SmolStr;
@@ -248,9 +248,9 @@
         let row = &mut self.rows[key];
         let known = &row.endpoint;
         match entry.instance.compare(&known.instance) {
-            Start::Earlier => return Update::default(),
-            Start::Later => return self.replace(key, entry, lists_born),
-            Start::Same => {}
+            StartOrder::Earlier => return Update::default(),
+            StartOrder::Later => return self.replace(key, entry, lists_born),
+            StartOrder::Same => {}
         }
         if row.lists_born && !lists_born {
             // The endpoint says when it started with each heartbeat; another writer didn't know.
@@ -288,8 +288,8 @@
         };
         let row = &mut self.rows[key];
         match r.instance.compare(&row.endpoint.instance) {
-            Start::Earlier => return Update::default(),
-            Start::Later => {
+            StartOrder::Earlier => return Update::default(),
+            StartOrder::Later => {
                 let started = Endpoint {
                     instance: r.instance.clone(),
                     leaving: false,
@@ -303,7 +303,7 @@
                 self.note_report(now, r);
                 return update;
             }
-            Start::Same => {}
+            StartOrder::Same => {}
         }
         if row.is_older_report(now, r) {
             return Update::default();
--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -215,8 +215,8 @@
         (None, 3, false),
     ] {
         let mut check = StartCheck::new(instance(None));
-        assert!(check.is_same(FIRST, 4));
-        assert_eq!(check.is_same(born, orders), is_same, "{born:?} {orders}");
+        assert!(check.observe(FIRST, 4));
+        assert_eq!(check.observe(born, orders), is_same, "{born:?} {orders}");
     }
 }
 
