--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -183,7 +183,7 @@
     known.note_vms(site.now(), usize::from(vms_known));
     let mine = known.positions.configuration;
     let at = confirmed_ms.and_then(|ms| confirmed_at(asked, ms));
-    if let Some(at) = at.filter(|_| !mine.is_start() && mine.holds(position)) {
+    if let Some(at) = at.filter(|_| !mine.is_start() && mine.covers(position)) {
         known.confirmation.confirm(at);
     }
 }
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -287,7 +287,7 @@
         let Some(at) = self.next else {
             return;
         };
-        let follows_on = at.holds(offer.from) && offer.to > at;
+        let follows_on = at.covers(offer.from) && offer.to > at;
         if !follows_on {
             return;
         }
@@ -383,7 +383,7 @@
         .map(|chunk| {
             let part = ListChanges {
                 from: at,
-                to: at.after(chunk.len()),
+                to: at.advanced_by(chunk.len()),
                 changes: newest(chunk.iter().filter_map(passed_on)),
             };
             at = part.to;
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -257,7 +257,7 @@
         for feed in [Feed::Configuration, Feed::Endpoints] {
             let (theirs, mine) = (position(p, feed), position(known.positions, feed));
             if let Some(ages) = ages(r, feed) {
-                let has_all = mine.holds(theirs) && !mine.is_start();
+                let has_all = mine.covers(theirs) && !mine.is_start();
                 self.meet(&mut known, feed, ages.told(now), has_all);
             }
             if theirs <= mine {
--- a/crates/limehollow/src/log_position.rs
+++ b/crates/limehollow/src/log_position.rs
@@ -10,8 +10,8 @@
 //! let before = LogPosition::new(1, 461);
 //! let after = LogPosition::new(2, 453);
 //! assert!(after > before, "who has read after the return is further");
-//! assert!(!after.holds(before), "but hasn't seen all that the other has");
-//! assert!(after.holds(LogPosition::new(2, 450)));
+//! assert!(!after.covers(before), "but hasn't seen all that the other has");
+//! assert!(after.covers(LogPosition::new(2, 450)));
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -63,13 +63,13 @@
 
     /// Tells whether what was read up to this position has all that was read up to another one.
     #[must_use]
-    pub const fn holds(self, other: Self) -> bool {
+    pub const fn covers(self, other: Self) -> bool {
         self.era == other.era && self.offset >= other.offset
     }
 
     /// Gives the position so many records further on.
     #[must_use]
-    pub fn after(self, records: usize) -> Self {
+    pub fn advanced_by(self, records: usize) -> Self {
         let records = u64::try_from(records).unwrap_or(u64::MAX);
         Self::new(self.era, self.offset.saturating_add(records))
     }
