--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -405,7 +405,7 @@
     {
         let rules = self.site.settings.load().repeats();
         let mut known = self.site.known();
-        let gateways = known.peers.known();
+        let gateways = known.peers.known_vms();
         let window = known.repeats.entry(self.job.service.clone()).or_default();
         f(window, self.site.now(), rules, gateways)
     }
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -276,7 +276,11 @@
     /// Takes in how many VMs another one knows of; limits are shared among the most that any knows. It is zero where that
     /// one doesn't know yet.
     pub fn note_vms(&mut self, now: Instant, told: usize) {
-        let read = if self.has_vms { self.peers.known() } else { 0 };
+        let read = if self.has_vms {
+            self.peers.known_vms()
+        } else {
+            0
+        };
         self.quotas.set_vms(now, told.max(read));
     }
 
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -159,7 +159,7 @@
         } else {
             freshness.complete_at() + pace.stale_after(self.luck) + patience
         };
-        let expected = known.peers.reader_expected(self.f.site.now());
+        let expected = known.peers.reader_expected_until(self.f.site.now());
         due.max(self.retry_at).max(expected.unwrap_or(due))
     }
 
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -183,7 +183,7 @@
     P: Protocol,
 {
     let known = site.known();
-    known.peers.known() > 1 && known.peers.alive(site.now()) == 1
+    known.peers.known_vms() > 1 && known.peers.alive(site.now()) == 1
 }
 
 async fn read<P, S>(site: &Site<P>, store: &S)
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -173,7 +173,7 @@
         if !own.wants.is_empty() {
             to.extend(controller(now, known).filter(|a| !to.contains(a)));
         }
-        if known.peers.known() == 1 {
+        if known.peers.known_vms() == 1 {
             to.clone_from(&self.seeds);
         }
         let mut outgoing = abroad(&own, now, known, told.other_zones);
--- a/crates/limehollow/src/peers.rs
+++ b/crates/limehollow/src/peers.rs
@@ -113,7 +113,7 @@
 
     /// Counts the VMs that have ever been known, this one too.
     #[must_use]
-    pub fn known(&self) -> usize {
+    pub fn known_vms(&self) -> usize {
         self.rows.len() + 1
     }
 
@@ -163,7 +163,7 @@
     /// Gives until when a VM is expected that reads for the zone and hasn't been heard yet, since it starts as this one does; none where
     /// this VM is to read, or one is heard that does.
     #[must_use]
-    pub fn reader_expected(&self, now: Instant) -> Option<Instant> {
+    pub fn reader_expected_until(&self, now: Instant) -> Option<Instant> {
         let readers = || self.present_here(now).filter(|(_, p)| p.reads_list);
         if self
             .strongest(readers().filter(|(_, p)| p.heard.is_some()))
@@ -321,7 +321,7 @@
     /// logarithm of the VMs.
     fn introduction(&self) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "a site has few VMs")]
-        let steps = (self.known() as f64).log2();
+        let steps = (self.known_vms() as f64).log2();
         INTRODUCTION.mul_f64((steps / FEW_STEPS).max(1.0))
     }
 
--- a/crates/limehollow/tests/peers.rs
+++ b/crates/limehollow/tests/peers.rs
@@ -33,7 +33,7 @@
         "it has moved"
     );
     assert_eq!(p.address("vm-3"), Some(address(33)));
-    assert_eq!(p.known(), 6);
+    assert_eq!(p.known_vms(), 6);
 }
 
 #[tokio::test(start_paused = true)]
