--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -286,7 +286,7 @@
                     let update = known.list(now, e);
                     drop(known);
                     self.site.note_restart(&instance, update, "list");
-                    if leaving || update.is_news && !whole {
+                    if leaving || update.is_new && !whole {
                         tracing::info!(%instance, leaving, ?learnt, %position, "endpoint listed");
                     }
                     news = true;
--- a/crates/limehollow-node/src/known.rs
+++ b/crates/limehollow-node/src/known.rs
@@ -488,7 +488,7 @@
                 self.quarantine.mark_unsaved(r.request);
             }
         }
-        outcome.is_news
+        outcome.is_new
     }
 
     fn log_quarantined(&self, now: Instant, request: Fingerprint, by: &str) {
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -374,7 +374,7 @@
     pub fn report(&self, now: Instant, r: &HoldingsReport) {
         let update = self.known().report(now, r);
         self.note_restart(&r.instance, update, "report");
-        if update.is_news {
+        if update.is_new {
             self.changed.notify_waiters();
         }
     }
--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// Whether anything is new.
-    pub is_news: bool,
+    pub is_new: bool,
     /// Whether the request is quarantined by it.
     pub is_quarantined: bool,
 }
@@ -270,7 +270,7 @@
             age_ms: 0,
         };
         let outcome = self.take_in(now, &record);
-        if outcome.is_news {
+        if outcome.is_new {
             let is_early = timing == Timing::Early;
             self.tell(request, if is_early { TOLD_TIMES } else { 1 });
         }
@@ -348,17 +348,17 @@
             return Outcome::default();
         }
         let has_crashes = !row.crashes.is_empty();
-        let is_news = self.put(now, other.request, row.clone());
+        let is_new = self.put(now, other.request, row.clone());
         if has_crashes && self.answers.contains(now, other.request) {
             self.clear(now, other.request);
             return Outcome {
-                is_news,
+                is_new,
                 is_quarantined: false,
             };
         }
         Outcome {
-            is_news,
-            is_quarantined: is_news && !was_held && !row.left(now).is_zero(),
+            is_new,
+            is_quarantined: is_new && !was_held && !row.left(now).is_zero(),
         }
     }
 
--- a/crates/limehollow/src/roster.rs
+++ b/crates/limehollow/src/roster.rs
@@ -105,7 +105,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Update {
     /// Whether anything is new: for an entry the endpoint or its start, for a report what it holds.
-    pub is_news: bool,
+    pub is_new: bool,
     /// The key of a former start, which is gone: what is believed of it has to be forgotten.
     pub replaced: Option<EndpointKey>,
 }
@@ -114,7 +114,7 @@
     /// Tells whether it shows that the endpoint started again.
     #[must_use]
     pub fn is_restart(self) -> bool {
-        self.is_news && self.replaced.is_some()
+        self.is_new && self.replaced.is_some()
     }
 }
 
@@ -256,7 +256,7 @@
             // The endpoint says when it started with each heartbeat; another writer didn't know.
             let replaced = self.set_unreadable(entry.instance.id);
             return Update {
-                is_news: false,
+                is_new: false,
                 replaced,
             };
         }
@@ -310,13 +310,13 @@
         }
         row.endpoint.instance.born = row.endpoint.instance.born.or(r.instance.born);
         row.held_back = None;
-        let is_news = row.endpoint.holdings != r.holdings;
-        if is_news {
+        let is_new = row.endpoint.holdings != r.holdings;
+        if is_new {
             row.endpoint.holdings = r.holdings.clone();
         }
         self.note_report(now, r);
         Update {
-            is_news,
+            is_new,
             replaced: None,
         }
     }
@@ -334,7 +334,7 @@
         let key = self.rows.insert(Row::new(endpoint, lists_born));
         self.keys.insert(id, key);
         Update {
-            is_news: true,
+            is_new: true,
             replaced: None,
         }
     }
@@ -398,9 +398,9 @@
         let Some(key) = self.find(instance) else {
             return false;
         };
-        let is_news = !self.rows[key].endpoint.leaving;
+        let is_new = !self.rows[key].endpoint.leaving;
         self.mark_leaving(key);
-        is_news
+        is_new
     }
 
     fn has_left(&self, instance: &Instance) -> bool {
--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -79,7 +79,7 @@
     let key = r.key("i-0");
     assert!(
         !r.apply_entry(Instant::now(), entry(FIRST, &["big-1"]))
-            .is_news
+            .is_new
     );
     assert_eq!(r.key("i-0"), key);
 }
@@ -103,7 +103,7 @@
     assert_eq!(r.len(), 0, "another writer's entry names no endpoint");
     assert!(
         r.apply_entry(Instant::now(), entry(FIRST, &["big-0"]))
-            .is_news
+            .is_new
     );
 }
 
@@ -122,7 +122,7 @@
     r.apply_entry(Instant::now(), entry(SECOND, &[]));
     assert_eq!(held(&r), Vec::<String>::new(), "it holds nothing now");
     let late = r.apply_report(Instant::now(), &told(FIRST, 10, &["big-0"]));
-    assert!(!late.is_news);
+    assert!(!late.is_new);
     assert_eq!(held(&r), Vec::<String>::new());
 }
 
@@ -137,7 +137,7 @@
     assert_eq!(held(&r), ["big-2"]);
     assert!(
         r.apply_report(Instant::now(), &told(SECOND, 2, &["big-1"]))
-            .is_news
+            .is_new
     );
     assert_eq!(held(&r), ["big-1"]);
 }
@@ -166,12 +166,12 @@
     r.apply_report(Instant::now(), &told(None, 9, &["big-0"]));
     assert!(
         !r.apply_report(Instant::now(), &told(None, 1, &["big-2"]))
-            .is_news
+            .is_new
     );
     advance(REPORT_PREFERRED).await;
     assert!(
         r.apply_report(Instant::now(), &told(None, 1, &["big-2"]))
-            .is_news
+            .is_new
     );
     assert_eq!(held(&r), ["big-2"]);
 }
@@ -185,11 +185,11 @@
     assert_eq!(r.unreadable().count(), 1);
     assert!(
         !r.apply_report(Instant::now(), &told(FIRST, 1, &["big-0"]))
-            .is_news
+            .is_new
     );
     assert!(
         r.apply_entry(Instant::now(), entry(FIRST, &["big-0"]))
-            .is_news
+            .is_new
     );
     assert_eq!((r.open(&llm()).count(), r.unreadable().count()), (1, 0));
 }
--- a/crates/limehollow/tests/roster.rs
+++ b/crates/limehollow/tests/roster.rs
@@ -20,7 +20,7 @@
     let (mut r, keys) = roster(&[&["big-0"]]);
     assert!(
         r.apply_report(Instant::now(), &report(2, &["big-1"]))
-            .is_news
+            .is_new
     );
     advance(REPORT_PREFERRED / 2).await;
     r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
@@ -78,11 +78,11 @@
     let (mut r, keys) = roster(&[&["big-0"]]);
     assert!(
         r.apply_report(Instant::now(), &report(3, &["big-2"]))
-            .is_news
+            .is_new
     );
     assert!(
         !r.apply_report(Instant::now(), &report(2, &["big-1"]))
-            .is_news
+            .is_new
     );
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
@@ -99,7 +99,7 @@
     }
     assert!(
         r.apply_report(Instant::now(), &report(1, &["big-1"]))
-            .is_news
+            .is_new
     );
     assert_eq!(
         r.get(keys[0]).expect("listed").holdings,
@@ -122,7 +122,7 @@
     assert_eq!(r.remove("i-0"), Some(keys[0]));
     assert!(
         r.apply_entry(Instant::now(), endpoint(0, "a", holding(&[])))
-            .is_news
+            .is_new
     );
     assert_ne!(r.key("i-0"), Some(keys[0]));
     assert!(r.get(keys[0]).is_none());
