--- a/crates/limehollow/src/peers.rs
+++ b/crates/limehollow/src/peers.rs
@@ -1,8 +1,9 @@
-//! The other VMs of a site: who is heard, who leads a zone, and to whom.
+//! The other VMs of a site: which are alive, which leads its zone, and which receive a message.
 //!
-//! Inside a zone all VMs tell each other. One VM of each zone leads it: of those that are heard the one with most
-//! processor, the first by name among equals. It sends sums to the other zones, and whoever hears such a message
-//! passes it on inside its own zone. So bytes between zones grow with the zones, not with the square of the VMs.
+//! Inside a zone every VM sends its state to all others. Each zone has a leader: of the VMs whose messages arrive, the
+//! one with the most processor, and the first by name among equals. It sends zone summaries to the other zones, and a
+//! VM that receives one relays it inside its own zone. Traffic between zones therefore grows with the number of zones,
+//! not with the square of the number of VMs.
 
 use crate::id::ZoneName;
 use smol_str::SmolStr;
@@ -13,40 +14,44 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::Xxh3;
 
-/// After how long without a message a VM counts as silent: eight messages.
+/// The time without a message after which a VM counts as silent: eight messages.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// For how long after its start a VM takes those that it hasn't heard yet for alive: as long as makes a VM silent,
-/// with some room for slow starts.
-const INTRODUCTION: Duration = Duration::from_millis(1500);
-/// The logarithm of a small site's VMs, up to which that is long enough.
-const FEW_STEPS: f64 = 3.0;
-/// How many VMs of each zone stand for the lease: one, and one for when it is lost. Each change among those who
-/// stand may move the lease, and with it comes a pause in which no orders are given: with all 71 VMs
-/// of a site it moved each four seconds.
+/// The time for which a newly added VM counts as alive before its first message: [`PEER_TIMEOUT`], with some room for
+/// slow starts.
+const STARTUP_GRACE: Duration = Duration::from_millis(1500);
+/// The binary logarithm of the number of VMs up to which [`STARTUP_GRACE`] is long enough.
+const SMALL_SITE_STEPS: f64 = 3.0;
+/// The number of candidates for the lease in each zone: one, and one for when that is lost.
+///
+/// Each change among the candidates may move the lease, and no orders are given for a while after a move. With all 71
+/// VMs of a site as candidates the lease moved every four seconds.
 const CANDIDATES: usize = 2;
-/// How many there are at most when the first say that they can't reach the store: if the whole zone can't, more
-/// of them would only move the lease when it comes back.
+/// The maximum number of candidates of a zone when the first of them report that they can't reach the store. If the
+/// whole zone can't reach it, more candidates would only move the lease when the store comes back.
 const MOST_CANDIDATES: usize = 4;
-/// How many VMs of a zone wait at the store for changes beside the one that reads for it: one, and one for when that is
-/// lost. The others hear from them that there is a change, and only then read it: with 60 VMs in a zone that all wait,
-/// each paid for 3.4 calls a minute to hear of one or two changes.
+/// The number of VMs of a zone, beside its reader, that wait at the store for changes: one, and one for when that is
+/// lost.
+///
+/// The others learn of a change from them and read it only then. With 60 VMs in a zone all waiting, each made 3.4
+/// calls a minute to learn of one or two changes.
 const WAITERS: usize = 2;
-/// How many starts of a VM's process are remembered: more than can happen while a datagram is on its way.
+/// The number of starts of a VM's process that are remembered: more than can happen while a datagram is in transit.
 const STARTS_KEPT: usize = 8;
-/// After how long without a sum a zone counts as silent.
-const ZONE_SILENT_AFTER: Duration = Duration::from_millis(2000);
+/// The time without a zone summary after which a zone counts as silent.
+const ZONE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// After how long without a sum the leader of another zone is no keeper, nor the one that is told of other zones: three of the sums that
-/// a large zone sends.
-const KEEPER_SILENT_AFTER: Duration = Duration::from_millis(800);
+/// The time without a zone summary after which the leader of another zone is no coordinator any more, nor the only
+/// recipient of messages to that zone: three summaries of a large zone.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// After how long without a message a VM is told things only in turn with the others that are as silent: longer than a VM stands
-/// still that is merely slow.
-const GIVEN_UP_AFTER: Duration = Duration::from_millis(3000);
-/// How many of those are told each time. Whoever comes back says so itself; this is for one that hears and isn't heard.
-const SILENT_TOLD: usize = 2;
+/// The time without a message after which a VM receives messages only in rotation with the other silent ones: longer
+/// than a VM that is merely slow stands still.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(3000);
+/// The number of silent VMs that a message goes to. A VM that comes back announces itself; these messages are for a VM
+/// that receives but whose own messages are lost.
+const SILENT_RECIPIENTS: usize = 2;
 
-/// Orders zones for a name, each name in another way.
+/// Returns the weight by which zones are ordered for a name; each name orders them differently.
 fn weight(zone: &ZoneName, name: &str) -> u64 {
     let mut h = Xxh3::new();
     h.update(zone.as_str().as_bytes());
@@ -61,158 +66,164 @@
     zone: ZoneName,
     /// Its processor, in thousandths of a core.
     millicores: u32,
-    /// Whether it reaches the platform's store, as far as it said.
+    /// Whether it reaches the platform's store, by its last report.
     reaches_store: bool,
-    /// Whether it can read the list of endpoints, as far as it said.
+    /// Whether it can read the list of endpoints, by its last report.
     reads_list: bool,
-    heard: Option<Instant>,
-    /// When this VM learnt of it.
-    learnt: Instant,
-    /// The starts of its process that were heard, the last one first.
+    /// When its last message arrived.
+    last_seen: Option<Instant>,
+    /// When it was added here.
+    added: Instant,
+    /// The known starts of its process, the latest first.
     starts: VecDeque<u64>,
-    /// The number of its last message in the last start.
+    /// The number of the last message of its latest start.
     number: u64,
 }
 
 #[derive(Clone, Debug)]
 struct OtherZone {
-    heard: Instant,
+    last_seen: Instant,
     from: SmolStr,
     vms: usize,
 }
 
-/// The other VMs, as one VM knows them.
+/// One VM's view of the other VMs.
 #[derive(Debug)]
 pub struct Peers {
-    me: SmolStr,
+    own_vm: SmolStr,
     zone: ZoneName,
     /// This VM's processor, in thousandths of a core.
     millicores: u32,
     rows: BTreeMap<SmolStr, Peer>,
     zones: BTreeMap<ZoneName, OtherZone>,
-    turn: usize,
-    /// Which of the silent VMs of the zone was told something last.
-    silent_turn: usize,
+    /// The position in the rotation over the VMs of each other zone.
+    rotation: usize,
+    /// The position in the rotation over the silent VMs of the own zone.
+    silent_rotation: usize,
 }
 
 /// Queries.
 impl Peers {
-    /// Makes the peers of a VM that knows none.
+    /// Creates the view of a VM that knows no others yet.
     #[must_use]
-    pub fn new(me: SmolStr, zone: ZoneName, millicores: u32) -> Self {
+    pub fn new(own_vm: SmolStr, zone: ZoneName, millicores: u32) -> Self {
         Self {
-            me,
+            own_vm,
             zone,
             millicores,
             rows: BTreeMap::new(),
             zones: BTreeMap::new(),
-            turn: 0,
-            silent_turn: 0,
+            rotation: 0,
+            silent_rotation: 0,
         }
     }
 
-    /// Counts the VMs that have ever been known, this one too.
+    /// Returns the number of VMs that were ever known, including this one.
     #[must_use]
     pub fn known_vms(&self) -> usize {
         self.rows.len() + 1
     }
 
-    /// Counts the VMs that are heard, this one too, those of other zones by what is said for them.
+    /// Returns the number of VMs that are alive, including this one; for other zones it is what their leaders report.
     #[must_use]
     pub fn alive(&self, now: Instant) -> usize {
         let zones = self.zones.values();
-        let others = zones.filter(|z| now.duration_since(z.heard) < ZONE_SILENT_AFTER);
+        let others = zones.filter(|z| now.duration_since(z.last_seen) < ZONE_TIMEOUT);
         self.alive_in_zone(now) + others.map(|z| z.vms).sum::<usize>()
     }
 
-    /// Counts the VMs of the own zone that are heard, this one too.
+    /// Returns the number of VMs of the own zone that are alive, including this one.
     #[must_use]
     pub fn alive_in_zone(&self, now: Instant) -> usize {
-        self.heard_here(now).count() + 1
+        self.heard_in_zone(now).count() + 1
     }
 
-    /// Tells whether this VM leads its zone.
+    /// Returns `true` if this VM leads its zone.
     #[must_use]
     pub fn is_zone_leader(&self, now: Instant) -> bool {
         self.zone_leader(now).is_none()
     }
 
-    /// Tells whether this VM reads the store for its zone: the strongest of those that can.
+    /// Returns `true` if this VM reads the store for its zone: it has the most processor of those that can read it.
     ///
-    /// Who leads the zone may be turned away by the store while others are served; listening to it, 71 VMs
-    /// heard nothing of a change for 40 s.
+    /// The reader need not be the zone's leader, which the store may reject while it serves others. When all relied on
+    /// the leader, 71 VMs learnt of no change for 40 s.
     #[must_use]
     pub fn is_zone_reader(&self, now: Instant) -> bool {
         self.reader_rank(now) == 0
     }
 
-    /// Tells whether this VM waits at the store for changes, beside the one that reads for its zone.
+    /// Returns `true` if this VM waits at the store for changes, as the zone's reader or beside it.
     #[must_use]
     pub fn is_zone_waiter(&self, now: Instant) -> bool {
         self.reader_rank(now) <= WAITERS
     }
 
-    /// Counts the VMs of the zone that can read the store and are stronger than this one.
+    /// Returns the number of VMs of the zone that can read the store and have more processor than this one.
     fn reader_rank(&self, now: Instant) -> usize {
-        let mine = (Reverse(self.millicores), &self.me);
-        let readers = self.present_here(now).filter(|(_, p)| p.reads_list);
+        let mine = (Reverse(self.millicores), &self.own_vm);
+        let readers = self.present_in_zone(now).filter(|(_, p)| p.reads_list);
         let before = readers.filter(|(name, p)| (Reverse(p.millicores), *name) < mine);
         before.count()
     }
 
-    /// Gives until when a VM is expected that reads for the zone and hasn't been heard yet, since it starts as this one does; none where
-    /// this VM is to read, or one is heard that does.
+    /// Returns the time until which a reader of the zone is expected to send its first message, as it may still be
+    /// starting.
+    ///
+    /// Returns `None` if this VM is the reader, or if a reader's messages already arrive.
     #[must_use]
     pub fn reader_expected_until(&self, now: Instant) -> Option<Instant> {
-        let readers = || self.present_here(now).filter(|(_, p)| p.reads_list);
+        let readers = || self.present_in_zone(now).filter(|(_, p)| p.reads_list);
         if self
-            .strongest(readers().filter(|(_, p)| p.heard.is_some()))
+            .strongest(readers().filter(|(_, p)| p.last_seen.is_some()))
             .is_some()
         {
             return None;
         }
         let expected = self.strongest(readers())?;
-        let learnt = self.rows.get(expected)?.learnt;
-        Some(learnt + self.introduction())
+        let added = self.rows.get(expected)?.added;
+        Some(added + self.startup_grace())
     }
 
-    /// Counts the VMs of the zone that say that they can't read the list of endpoints.
+    /// Returns the number of VMs of the zone that report that they can't read the list of endpoints.
     #[must_use]
     pub fn failing_in_zone(&self, now: Instant) -> usize {
-        self.heard_here(now).filter(|(_, p)| !p.reads_list).count()
+        self.heard_in_zone(now)
+            .filter(|(_, p)| !p.reads_list)
+            .count()
     }
 
-    /// Gives the VM that speaks for the own zone, unless it is this one.
+    /// Returns the leader of the own zone, or `None` if it is this VM.
     #[must_use]
     pub fn zone_leader(&self, now: Instant) -> Option<&SmolStr> {
-        self.strongest(self.heard_here(now))
+        self.strongest(self.heard_in_zone(now))
     }
 
-    /// Gives the strongest of some VMs, unless this one is stronger than all of them.
+    /// Returns the VM with the most processor of `vms`, or `None` if this VM comes before all of them.
     fn strongest<'a, I>(&'a self, vms: I) -> Option<&'a SmolStr>
     where
         I: Iterator<Item = (&'a SmolStr, &'a Peer)>,
     {
         let ranks = vms.map(|(name, p)| (Reverse(p.millicores), name));
         let best = ranks.min()?;
-        (best < (Reverse(self.millicores), &self.me)).then_some(best.1)
+        (best < (Reverse(self.millicores), &self.own_vm)).then_some(best.1)
     }
 
-    /// Tells whether this VM stands for the lease: few of each zone do, the strongest first.
+    /// Returns `true` if this VM is a candidate for the lease: the few of each zone with the most processor are.
     #[must_use]
     pub fn is_candidate(&self, now: Instant) -> bool {
         self.candidate_rank(now).is_some()
     }
 
-    /// Gives this VM's place among the candidates for the lease, the first of each zone before the second of any.
+    /// Returns this VM's rank among the candidates for the lease; the first of each zone come before the second of any.
     #[must_use]
     pub fn candidate_rank(&self, now: Instant) -> Option<usize> {
-        let mine = (Reverse(self.millicores), &self.me);
+        let mine = (Reverse(self.millicores), &self.own_vm);
         let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
         let before = here.filter(|(name, p)| {
-            let is_alive = match p.heard {
+            let is_alive = match p.last_seen {
                 Some(t) => now.duration_since(t) < PEER_TIMEOUT,
-                None => now.duration_since(p.learnt) < self.introduction(),
+                None => now.duration_since(p.added) < self.startup_grace(),
             };
             is_alive && (Reverse(p.millicores), *name) < mine
         });
@@ -224,75 +235,76 @@
         stands.then_some(reaching.len() * zones.len() + zone)
     }
 
-    /// Tells whether a VM is this one, or one of its zone.
+    /// Returns `true` if `name` is this VM or another VM of its zone.
     #[must_use]
     pub fn is_in_own_zone(&self, name: &str) -> bool {
         let here = |p: &Peer| p.zone == self.zone;
-        name == self.me || self.rows.get(name).is_some_and(here)
+        name == self.own_vm || self.rows.get(name).is_some_and(here)
     }
 
-    /// Gives all other VMs that are known, with zone, address and processor.
+    /// Returns all other known VMs with their zone, address and processor in thousandths of a core.
     pub fn vms(&self) -> impl Iterator<Item = (&SmolStr, &ZoneName, SocketAddr, u32)> {
         let rows = self.rows.iter();
         rows.map(|(name, p)| (name, &p.zone, p.address, p.millicores))
     }
 
-    /// Gives where a VM's datagrams arrive.
+    /// Returns the address that a VM receives datagrams at.
     #[must_use]
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.rows.get(name).map(|p| p.address)
     }
 
-    /// Gives the addresses of the own zone's other VMs, the silent ones too.
+    /// Returns the addresses of the other VMs of the own zone, including silent ones.
     #[must_use]
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         let here = self.rows.values().filter(|p| p.zone == self.zone);
         here.map(|p| p.address).collect()
     }
 
-    /// Gives the addresses of the own zone's other VMs that were heard lately, or may just be starting.
+    /// Returns the addresses of the other VMs of the own zone that sent a message recently or may be starting.
     #[must_use]
     pub fn responsive_neighbours(&self, now: Instant) -> Vec<SocketAddr> {
-        let (listening, _) = self.by_listening(now);
-        listening
+        let (responsive, _) = self.by_responsiveness(now);
+        responsive
     }
 
-    /// Gives the VMs of the own zone, those first that listen as far as is known.
-    fn by_listening(&self, now: Instant) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
+    /// Returns the addresses of the VMs of the own zone that are presumed to receive messages, and of the silent ones.
+    fn by_responsiveness(&self, now: Instant) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
         let here = self.rows.values().filter(|p| p.zone == self.zone);
-        let listens = |p: &&Peer| now.duration_since(p.heard.unwrap_or(p.learnt)) < GIVEN_UP_AFTER;
-        let (listening, silent): (Vec<&Peer>, Vec<&Peer>) = here.partition(listens);
+        let is_responsive =
+            |p: &&Peer| now.duration_since(p.last_seen.unwrap_or(p.added)) < UNRESPONSIVE_AFTER;
+        let (responsive, silent): (Vec<&Peer>, Vec<&Peer>) = here.partition(is_responsive);
         let addresses = |vms: Vec<&Peer>| vms.into_iter().map(|p| p.address).collect();
-        (addresses(listening), addresses(silent))
+        (addresses(responsive), addresses(silent))
     }
 
-    /// Gives the addresses of all other VMs, the silent ones too.
+    /// Returns the addresses of all other VMs, including silent ones.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.rows.values().map(|p| p.address).collect()
     }
 
-    /// Gives the address of another VM, by any number.
+    /// Returns the address of another VM, chosen by `number` modulo their count.
     #[must_use]
     pub fn nth_address(&self, number: usize) -> Option<SocketAddr> {
         let n = number.checked_rem(self.rows.len())?;
         self.rows.values().nth(n).map(|p| p.address)
     }
 
-    /// Gives the VM that reads the store for the own zone, unless it is this one.
+    /// Returns the VM that reads the store for the own zone, or `None` if it is this one.
     #[must_use]
     pub fn zone_reader(&self, now: Instant) -> Option<&SmolStr> {
-        self.strongest(self.heard_here(now).filter(|(_, p)| p.reads_list))
+        self.strongest(self.heard_in_zone(now).filter(|(_, p)| p.reads_list))
     }
 
-    /// Gives the VMs that may keep something of this name for the whole site, the one first that should: the leaders of
-    /// the zones that are heard, in an order by the name. None stands for this VM.
+    /// Returns the VMs that may coordinate `name` for the whole site, the preferred one first: the leaders of the live
+    /// zones, in an order that depends on the name. `None` stands for this VM.
     ///
-    /// VMs may differ in this for a second; what is kept so must bear it.
+    /// VMs may disagree on the order for a second; what is coordinated this way has to tolerate two coordinators.
     #[must_use]
     pub fn coordinators(&self, now: Instant, name: &str) -> Vec<Option<SocketAddr>> {
-        let heard = |z: &&OtherZone| now.duration_since(z.heard) < KEEPER_SILENT_AFTER;
-        let others = self.zones.iter().filter(|(_, z)| heard(z));
+        let is_live = |z: &&OtherZone| now.duration_since(z.last_seen) < COORDINATOR_TIMEOUT;
+        let others = self.zones.iter().filter(|(_, z)| is_live(z));
         let others = others.filter_map(|(zone, z)| Some((zone, Some(self.address(&z.from)?))));
         let own = self.zone_leader(now).map(|vm| self.address(vm));
         let mut all: Vec<_> = others.collect();
@@ -301,34 +313,36 @@
         all.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Gives for each VM how long ago it was heard, for a dump.
+    /// Returns the age of each VM's last message, for a dump.
     pub fn message_ages(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, Option<Duration>)> {
         let rows = self.rows.iter();
-        rows.map(move |(name, p)| (name, p.heard.map(|t| now.duration_since(t))))
+        rows.map(move |(name, p)| (name, p.last_seen.map(|t| now.duration_since(t))))
     }
 
-    /// Gives the VMs of the own zone that are heard, and those that were learnt of so lately that nothing can have been heard of
-    /// them. Without these each of many VMs that start together would take itself for the one that reads for all.
-    fn present_here(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
+    /// Returns the VMs of the own zone that are alive, and those added too recently to have sent a message.
+    ///
+    /// Without the latter, each of many VMs that start together would take itself for the zone's reader.
+    fn present_in_zone(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
         let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
-        here.filter(move |(_, p)| match p.heard {
+        here.filter(move |(_, p)| match p.last_seen {
             Some(t) => now.duration_since(t) < PEER_TIMEOUT,
-            None => now.duration_since(p.learnt) < self.introduction(),
+            None => now.duration_since(p.added) < self.startup_grace(),
         })
     }
 
-    /// Gives for how long a VM that was learnt of may be silent because it is starting as well: a start takes as many steps as the
-    /// logarithm of the VMs.
-    fn introduction(&self) -> Duration {
+    /// Returns the time for which a newly added VM may be silent because it is starting: a start takes as many steps as
+    /// the logarithm of the number of VMs.
+    fn startup_grace(&self) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "a site has few VMs")]
         let steps = (self.known_vms() as f64).log2();
-        INTRODUCTION.mul_f64((steps / FEW_STEPS).max(1.0))
+        STARTUP_GRACE.mul_f64((steps / SMALL_SITE_STEPS).max(1.0))
     }
 
-    fn heard_here(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
+    /// Returns the VMs of the own zone whose messages arrive.
+    fn heard_in_zone(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
         let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
         here.filter(move |(_, p)| {
-            p.heard
+            p.last_seen
                 .is_some_and(|t| now.duration_since(t) < PEER_TIMEOUT)
         })
     }
@@ -336,7 +350,7 @@
 
 /// Commands.
 impl Peers {
-    /// Takes in where a VM is, and its processor in thousandths of a core. Gives whether it is a new one.
+    /// Adds a VM or updates its zone, address and processor in thousandths of a core. Returns `true` if it is new.
     pub fn upsert(
         &mut self,
         name: SmolStr,
@@ -344,7 +358,7 @@
         address: SocketAddr,
         millicores: u32,
     ) -> bool {
-        if name == self.me {
+        if name == self.own_vm {
             return false;
         }
         if let Some(p) = self.rows.get_mut(&name) {
@@ -359,8 +373,8 @@
             millicores,
             reaches_store: true,
             reads_list: true,
-            heard: None,
-            learnt: Instant::now(),
+            last_seen: None,
+            added: Instant::now(),
             starts: VecDeque::new(),
             number: 0,
         };
@@ -368,12 +382,12 @@
         true
     }
 
-    /// Notes a VM's own message, by the start of its process and its number there. Gives whether it is newer than the
-    /// last.
+    /// Records a message of a VM, given the start of its process and the message's number within that start. Returns
+    /// `true` if it is newer than the last one.
     ///
-    /// A start that wasn't heard before is a later one: datagrams of a former start that come late are known by it. No
-    /// clock is asked. While numbers began with the time of day, a VM whose clock was set back by eight seconds before it
-    /// started again wasn't heard for that long.
+    /// An unknown start is a later one, which identifies late datagrams of a former start without reading a clock. When
+    /// numbers began with the time of day, a VM whose clock was set back by eight seconds before a restart was ignored
+    /// for that long.
     pub fn receive(&mut self, now: Instant, name: &str, start: u64, number: u64) -> bool {
         let Some(p) = self.rows.get_mut(name) else {
             return false;
@@ -387,49 +401,49 @@
             p.starts.truncate(STARTS_KEPT);
         }
         p.number = number;
-        p.heard = Some(now);
+        p.last_seen = Some(now);
         true
     }
 
-    /// Notes whether a VM says that it reaches the platform's store.
+    /// Records whether a VM reports that it reaches the platform's store.
     pub fn set_reaches_store(&mut self, name: &str, reaches_store: bool) {
         if let Some(p) = self.rows.get_mut(name) {
             p.reaches_store = reaches_store;
         }
     }
 
-    /// Notes whether a VM says that it can read the list of endpoints.
+    /// Records whether a VM reports that it can read the list of endpoints.
     pub fn set_reads_list(&mut self, name: &str, reads_list: bool) {
         if let Some(p) = self.rows.get_mut(name) {
             p.reads_list = reads_list;
         }
     }
 
-    /// Notes a message for a whole zone.
+    /// Records a summary of another zone that its leader `from` sent.
     pub fn receive_zone(&mut self, now: Instant, zone: ZoneName, from: SmolStr, vms: usize) {
         let row = OtherZone {
-            heard: now,
+            last_seen: now,
             from,
             vms,
         };
         self.zones.insert(zone, row);
     }
 
-    /// Gives to whom of the own zone a message goes: to all that listen, and to some of the silent ones in turn.
+    /// Returns the recipients of a message in the own zone: all responsive VMs, and a few silent ones in rotation.
     pub fn zone_recipients(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let (mut to, silent) = self.by_listening(now);
-        let some = silent.len().min(SILENT_TOLD);
-        let first = self.silent_turn.checked_rem(silent.len()).unwrap_or(0);
-        self.silent_turn = first + some;
+        let (mut to, silent) = self.by_responsiveness(now);
+        let some = silent.len().min(SILENT_RECIPIENTS);
+        let first = self.silent_rotation.checked_rem(silent.len()).unwrap_or(0);
+        self.silent_rotation = first + some;
         to.extend(silent.iter().cycle().skip(first).take(some));
         to
     }
 
-    /// Gives one VM of each other zone, in turn.
+    /// Returns one VM of each other zone, in rotation.
     pub fn next_in_other_zones(&mut self) -> Vec<SocketAddr> {
-        self.turn += 1;
+        self.rotation += 1;
         let by_zone = self.other_zones();
-        let turns = by_zone.values().map(|vms| vms[self.turn % vms.len()].1);
+        let turns = by_zone.values().map(|vms| vms[self.rotation % vms.len()].1);
         turns.collect()
     }
 
@@ -441,18 +455,20 @@
         by_zone
     }
 
-    /// Gives to whom in the other zones a message goes: in each to the VM that speaks for it. Where none was heard to lately, it goes to
-    /// the last one that was, and to one more in turn, so that a zone whose leader is gone is reached soon.
+    /// Returns the recipients of a message in the other zones: the leader of each.
+    ///
+    /// Where no leader sent a summary recently, they are the last known leader and one more VM in rotation, so that a
+    /// zone whose leader is gone is reached soon.
     pub fn zone_targets(&mut self, now: Instant) -> Vec<SocketAddr> {
-        self.turn += 1;
+        self.rotation += 1;
         let mut out = Vec::new();
         for (zone, vms) in self.other_zones() {
-            let spoke = self.zones.get(zone);
-            let last = spoke.and_then(|z| vms.iter().find(|(n, _)| **n == z.from));
+            let leader = self.zones.get(zone);
+            let last = leader.and_then(|z| vms.iter().find(|(n, _)| **n == z.from));
             out.extend(last.map(|(_, a)| *a));
-            let is_heard = |z: &OtherZone| now.duration_since(z.heard) < KEEPER_SILENT_AFTER;
-            if last.is_none() || !spoke.is_some_and(is_heard) {
-                let (_, next) = vms[self.turn % vms.len()];
+            let is_live = |z: &OtherZone| now.duration_since(z.last_seen) < COORDINATOR_TIMEOUT;
+            if last.is_none() || !leader.is_some_and(is_live) {
+                let (_, next) = vms[self.rotation % vms.len()];
                 out.extend((!out.contains(&next)).then_some(next));
             }
         }
