--- a/crates/limehollow/src/group_lease.rs
+++ b/crates/limehollow/src/group_lease.rs
@@ -1,39 +1,39 @@
-//! The right to give orders, held through membership of a group at the platform.
+//! The lease that allows a process to give orders, held through membership of a group at the platform.
 //!
-//! The platform deals a partition to one member of a group at a time. Who is assignment it holds the lease.
-//! Its generation rises with each change of the group, but goes back with a store that comes back from a copy, so the
-//! fencing number is of the store's era first. A new holder
-//! first waits until orders of the one before can't arrive any more, and a holder that hasn't heard
-//! from the platform lately gives no orders (`docs/design/system.md`).
+//! The platform assigns a partition to one member of the group at a time, and that member holds the lease. The group's
+//! generation rises with each change of the group, but falls when the store is restored from a copy, so the fencing
+//! number is ordered by the store's era first. A new holder waits until no order of its predecessor can still arrive,
+//! and a holder without a recent answer of the platform gives no orders (`docs/design/system.md`).
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a member may be silent before its lease passes on.
+/// The time without a join after which the platform reassigns a member's lease.
 pub const TTL: Duration = Duration::from_millis(1500);
-/// How often a member joins anew: a lost call doesn't yet cost the lease.
+/// The time between two joins of a member. A single lost call doesn't cost the lease.
 pub const JOIN_EVERY: Duration = Duration::from_millis(450);
-/// How old the start of the last good join may be when an order is given. Well under [`TTL`], since the
-/// order itself takes time to arrive.
+/// The maximum age of the last successful join, counted from its start, at which an order may be given. It is well
+/// under [`TTL`], since the order itself takes time to arrive.
 pub const ORDER_WITHIN: Duration = Duration::from_millis(1000);
-/// What a new holder waits beyond the time that the site's rules ask for.
+/// The time that a new holder waits beyond what the site's rules require.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(100);
 
-/// The bits of a fencing number that the generation takes; the era is in those above.
+/// The low bits of a fencing number, which hold the generation; the era is in the bits above.
 const GENERATION_BITS: u32 = 32;
 
-/// When in the history of the group something was true: the store's era first, then the group's generation, which rises with each
-/// change of the group within an era.
+/// A point in the history of the group, ordered by the store's era and then by the group's generation.
+///
+/// The generation rises with each change of the group within an era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Term {
-    /// How often the store has come back from a copy.
+    /// The number of times that the store was restored from a copy.
     pub era: u64,
     /// The group's generation.
     pub generation: u64,
 }
 
 impl Term {
-    /// Gives the fencing number, which never falls.
+    /// Returns the fencing number, which never falls.
     #[must_use]
     pub fn fence(self) -> u64 {
         (self.era << GENERATION_BITS) | self.generation
@@ -45,47 +45,48 @@
 pub struct GroupAssignment {
     /// The group's term.
     pub term: Term,
-    /// Whether the lease's partition is this member's.
+    /// Whether the lease's partition is assigned to this member.
     pub holds_lease: bool,
 }
 
-/// A change that is worth a log line.
+/// A change of the lease that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// The lease came to this process, with this fencing number.
+    /// This process acquired the lease, with this fencing number.
     Taken(u64),
-    /// It is this process's again, with this fencing number, and nobody else had it in between.
+    /// This process has the lease again, with this fencing number, and no other process held it in between.
     Resumed(u64),
-    /// It went to another one.
+    /// The lease passed to another process.
     Lost,
 }
 
-/// What is known of the holder before.
+/// What is known of the previous holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Predecessor {
-    /// Nothing: it may have given orders until just now.
+    /// Nothing is known: it may have given orders until just now.
     #[default]
     Unknown,
     /// It resigned, and had given no order.
     Idle,
-    /// It resigned, and gave its last order then.
+    /// It resigned, and gave its last order at this time.
     Ordered(Instant),
 }
 
-/// A lease that lapsed and may still be this process's.
+/// A lease that lapsed and that this process may still hold.
 #[derive(Clone, Copy, Debug)]
 struct Suspended {
     term: Term,
     held_since: Instant,
 }
 
-/// What one process knows of the lease.
+/// One process's state of the lease.
 #[derive(Debug)]
 pub struct GroupLease {
     handover: Duration,
     term: Term,
-    /// Since when the lease has been held without a break, as far as this process knows.
+    /// The time since which this process has held the lease without a known interruption.
     held_since: Option<Instant>,
+    /// When the last join that confirmed the lease was sent.
     renewed: Option<Instant>,
     suspended: Option<Suspended>,
     predecessor: Predecessor,
@@ -93,8 +94,8 @@
 }
 
 impl GroupLease {
-    /// Makes the watch of a process that holds nothing. `between_holders` is how long orders of two
-    /// holders have to be apart.
+    /// Creates the state of a process that doesn't hold the lease. `between_holders` is the minimum time between the
+    /// orders of two holders.
     #[must_use]
     pub fn new(between_holders: Duration) -> Self {
         Self {
@@ -108,19 +109,19 @@
         }
     }
 
-    /// Gives the generation heard last, which the next join names.
+    /// Returns the generation of the last answer, which the next join sends.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.term.generation
     }
 
-    /// Gives the fencing number of the term heard last, for what is said of the lease.
+    /// Returns the fencing number of the last known term, for notices about the lease.
     #[must_use]
     pub fn last_fence(&self) -> u64 {
         self.term.fence()
     }
 
-    /// Gives the fencing number if orders may be given now.
+    /// Returns the fencing number if orders may be given now.
     #[must_use]
     pub fn fence(&self, now: Instant) -> Option<u64> {
         let since = self.held_since?;
@@ -136,17 +137,18 @@
         (fresh && is_free).then_some(self.term.fence())
     }
 
-    /// Tells whether the lease was held and may have passed on since: the platform hasn't confirmed it for so long.
+    /// Returns `true` if the lease is held but was last confirmed [`TTL`] ago or more, so that another process may have
+    /// it.
     #[must_use]
     pub fn has_lapsed(&self, now: Instant) -> bool {
         let lapsed = |t: Instant| now.duration_since(t) >= TTL;
         self.is_held() && self.renewed.is_none_or(lapsed)
     }
 
-    /// Gives when the last order was given at the latest, by this holder or one before it.
+    /// Returns the latest time at which this holder or its predecessor can have given the last order.
     ///
-    /// One that resigns before it gave any hands on what it knew of its predecessor: the next would otherwise order
-    /// at once, right after the one before both.
+    /// A holder that resigns before its first order passes on what it knew of its predecessor. The next holder would
+    /// otherwise give orders at once, right after that predecessor's.
     #[must_use]
     pub fn last_order(&self) -> Option<Instant> {
         self.last_order.or(match self.predecessor {
@@ -156,32 +158,33 @@
         })
     }
 
-    /// Tells whether the lease is held, though perhaps not long enough for orders.
+    /// Returns `true` if the lease is held, though perhaps not long enough to give orders.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.held_since.is_some()
     }
 
-    /// Notes that an order is given.
+    /// Records that an order is given.
     pub fn record_order(&mut self, now: Instant) {
         self.last_order = Some(now);
     }
 
-    /// Notes that the holder before resigned, and when it gave its last order, so that this one waits from then on.
+    /// Sets what is known of the previous holder, so that the wait counts from its last order if it resigned.
     ///
-    /// A rolling restart of a site passes through each holder; without this each cost three seconds without orders.
+    /// A rolling restart of a site moves the lease through each VM; without this each move cost three seconds without
+    /// orders.
     pub fn set_predecessor(&mut self, before: Predecessor) {
         self.predecessor = before;
     }
 
-    /// Gives the lease up: the process ends.
+    /// Releases the lease as the process ends.
     pub fn release(&mut self) {
         self.held_since = None;
         self.renewed = None;
     }
 
-    /// Gives no orders any more, because the lease has lapsed while the platform answered nobody; it is taken up again if the
-    /// platform's first answer names the same term.
+    /// Suspends the lease, which lapsed while the platform answered no VM. It is resumed if the platform's first answer
+    /// names the same term.
     pub fn suspend(&mut self) {
         self.suspended = self.held_since.map(|held_since| Suspended {
             term: self.term,
@@ -190,7 +193,7 @@
         self.release();
     }
 
-    /// Takes in the answer to a join that was sent at `sent`.
+    /// Applies the answer to a join that was sent at `sent`.
     pub fn apply_assignment(
         &mut self,
         sent: Instant,
@@ -198,12 +201,12 @@
         assignment: GroupAssignment,
     ) -> Option<LeaseChange> {
         if assignment.term.era < self.term.era {
-            // An answer that was long on its way: what it deals is gone.
+            // A late answer of a former era: what it assigns is void.
             return None;
         }
         let lapsed = self.has_lapsed(now);
         self.term = self.term.max(assignment.term);
-        // Each change of the group raises the term: in this one nobody else can have been assignment the lease.
+        // Each change of the group raises the term, so no other member was assigned the lease within this one.
         let suspended = self.suspended.take();
         if let Some(s) = suspended.filter(|s| assignment.holds_lease && s.term == assignment.term) {
             self.renewed = Some(sent);
@@ -216,7 +219,7 @@
         }
         self.renewed = Some(sent);
         if self.held_since.is_none() || lapsed {
-            // After a lapse another may have held it in between.
+            // Another process may have held the lease during the lapse.
             self.held_since = Some(now);
             self.predecessor = Predecessor::Unknown;
             self.last_order = None;
