--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -425,7 +425,7 @@
     {
         let rules = self.site.settings.load().repeat_allowance();
         let mut view = self.site.view();
-        let gateways = view.peers.known();
+        let gateways = view.peers.known_vms();
         let window = view.repeats.entry(self.job.service.clone()).or_default();
         f(window, self.site.now(), rules, gateways)
     }
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -288,7 +288,7 @@
                     let update = view.list(now, e);
                     drop(view);
                     self.site.log_restart(&instance, update, "list");
-                    if leaving || update.is_news && !whole {
+                    if leaving || update.is_new && !whole {
                         tracing::info!(%instance, leaving, ?learnt, %position, "endpoint listed");
                     }
                     news = true;
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -104,7 +104,7 @@
         let now = self.site.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget.set_rate(now, rate);
-        budget.take(now, bytes, urgency)
+        budget.try_spend(now, bytes, urgency)
     }
 }
 
@@ -219,7 +219,7 @@
     for request in view.quarantine.sweep(now) {
         tracing::info!(%request, "a quarantined request is forgotten");
         if view.peers.is_zone_leader(now) {
-            view.quarantine.save(request);
+            view.quarantine.mark_unsaved(request);
         }
     }
 }
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -155,11 +155,11 @@
         };
         let pace = self.pace();
         let due = if view.peers.is_zone_reader(self.f.site.now()) {
-            began + pace.every()
+            began + pace.interval()
         } else {
             freshness.complete_at() + pace.stale_after(self.luck) + patience
         };
-        let expected = view.peers.reader_expected(self.f.site.now());
+        let expected = view.peers.reader_expected_until(self.f.site.now());
         due.max(self.retry_at).max(expected.unwrap_or(due))
     }
 
@@ -258,7 +258,7 @@
 
     /// Gives how long a call may take: longer after failures, since the store may only be slow.
     fn answer_within(&self) -> Duration {
-        let limit = self.pace().answer_within() * 2_u32.saturating_pow(self.failures.min(8));
+        let limit = self.pace().call_timeout() * 2_u32.saturating_pow(self.failures.min(8));
         limit.min(LONGEST_ANSWER)
     }
 
@@ -275,7 +275,7 @@
     }
 
     async fn fetch(&mut self) {
-        let limit = self.pace().answer_within() * 2;
+        let limit = self.pace().call_timeout() * 2;
         // A state that doesn't come in time is asked for again when a message shows who is ahead.
         if let Ok(Some(state)) = timeout(limit, self.f.fetch_ahead()).await {
             self.next = self.f.take_state(state).or(self.next);
@@ -287,7 +287,7 @@
         let Some(at) = self.next else {
             return;
         };
-        let follows_on = at.holds(offer.from) && offer.to > at;
+        let follows_on = at.covers(offer.from) && offer.to > at;
         if !follows_on {
             return;
         }
@@ -383,7 +383,7 @@
         .map(|chunk| {
             let part = ListChanges {
                 from: at,
-                to: at.after(chunk.len()),
+                to: at.advanced_by(chunk.len()),
                 changes: newest(chunk.iter().filter_map(passed_on)),
             };
             at = part.to;
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -183,7 +183,7 @@
     P: Protocol,
 {
     let view = site.view();
-    view.peers.known() > 1 && view.peers.alive(site.now()) == 1
+    view.peers.known_vms() > 1 && view.peers.alive(site.now()) == 1
 }
 
 async fn read<P, S>(site: &Site<P>, store: &S)
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -173,7 +173,7 @@
         if !own.wants.is_empty() {
             to.extend(controller(now, view).filter(|a| !to.contains(a)));
         }
-        if view.peers.known() == 1 {
+        if view.peers.known_vms() == 1 {
             to.clone_from(&self.seeds);
         }
         let mut outgoing = abroad(&own, now, view, told.other_zones);
@@ -510,7 +510,7 @@
 
 /// Gives what a VM of this zone says of the lease, for the other zones.
 fn zone_notice(now: Instant, view: &SiteView) -> Option<LeaseNotice> {
-    let heard = view.candidacy.fresh(now);
+    let heard = view.candidacy.recent_notice(now);
     let here = heard.filter(|w| view.peers.is_in_own_zone(&w.vm));
     here.map(|w| said(now, w))
 }
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -244,7 +244,7 @@
         tracing::warn!(era, "the store has come back from a copy");
         self.metrics.store_returns.inc();
         if view.peers.is_zone_leader(now) {
-            view.quarantine.save_all(now);
+            view.quarantine.mark_all_unsaved(now);
             drop(view);
             self.quarantine_unsaved.notify_one();
         }
@@ -257,7 +257,7 @@
         for feed in [Feed::Configuration, Feed::Endpoints] {
             let (theirs, mine) = (position(p, feed), position(view.positions, feed));
             if let Some(ages) = ages(r, feed) {
-                let has_all = mine.holds(theirs) && !mine.is_start();
+                let has_all = mine.covers(theirs) && !mine.is_start();
                 self.merge_freshness(&mut view, feed, ages.told(now), has_all);
             }
             if theirs <= mine {
@@ -380,7 +380,7 @@
     pub fn report(&self, now: Instant, r: &HoldingsReport) {
         let update = self.view().report(now, r);
         self.log_restart(&r.instance, update, "report");
-        if update.is_news {
+        if update.is_new {
             self.endpoints_changed.notify_waiters();
         }
     }
--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -279,7 +279,11 @@
     /// Takes in how many VMs another one knows of; limits are shared among the most that any knows. It is zero where that
     /// one doesn't know yet.
     pub fn update_vm_count(&mut self, now: Instant, told: usize) {
-        let read = if self.has_vms { self.peers.known() } else { 0 };
+        let read = if self.has_vms {
+            self.peers.known_vms()
+        } else {
+            0
+        };
         self.quotas.set_vms(now, told.max(read));
     }
 
@@ -484,10 +488,10 @@
             self.log_quarantined(now, r.request, by);
             if self.peers.is_zone_leader(now) {
                 // Which VM's word was the last one needed is another one on each VM.
-                self.quarantine.save(r.request);
+                self.quarantine.mark_unsaved(r.request);
             }
         }
-        outcome.is_news
+        outcome.is_new
     }
 
     fn log_quarantined(&self, now: Instant, request: Fingerprint, by: &str) {
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -53,7 +53,7 @@
     let now = site.now();
     let mut view = site.view();
     view.is_starting = false;
-    if view.candidacy.fresh(now).is_none() {
+    if view.candidacy.recent_notice(now).is_none() {
         view.candidacy.restart(now);
     }
 }
@@ -278,7 +278,7 @@
     let mut view = site.view();
     view.add_vm(&vm);
     let (who, position) = ((vm.address, vm.millicores), view.positions.endpoints);
-    let giver = view.start_tree.place(now, &vm.zone, who, position);
+    let giver = view.start_tree.assign_parent(now, &vm.zone, who, position);
     if view.listed.get(&vm.name) != Some(&vm) {
         view.unlisted.insert(vm.name.clone(), vm);
         site.vm_unlisted.notify_one();
--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// Whether anything is new.
-    pub is_news: bool,
+    pub is_new: bool,
     /// Whether the request is quarantined by it.
     pub is_quarantined: bool,
 }
@@ -246,10 +246,10 @@
 /// Commands.
 impl Quarantine {
     /// Has all quarantined requests kept again: the platform's store has lost what was written there lately.
-    pub fn save_all(&mut self, now: Instant) {
+    pub fn mark_all_unsaved(&mut self, now: Instant) {
         let all: Vec<Fingerprint> = self.quarantined(now).map(|(request, ..)| request).collect();
         for request in all {
-            self.save(request);
+            self.mark_unsaved(request);
         }
     }
 
@@ -270,7 +270,7 @@
             age_ms: 0,
         };
         let outcome = self.take_in(now, &record);
-        if outcome.is_news {
+        if outcome.is_new {
             let is_early = timing == Timing::Early;
             self.tell(request, if is_early { TOLD_TIMES } else { 1 });
         }
@@ -348,17 +348,17 @@
             return Outcome::default();
         }
         let has_crashes = !row.crashes.is_empty();
-        let is_news = self.put(now, other.request, row.clone());
+        let is_new = self.put(now, other.request, row.clone());
         if has_crashes && self.answers.contains(now, other.request) {
             self.clear(now, other.request);
             return Outcome {
-                is_news,
+                is_new,
                 is_quarantined: false,
             };
         }
         Outcome {
-            is_news,
-            is_quarantined: is_news && !was_held && !row.left(now).is_zero(),
+            is_new,
+            is_quarantined: is_new && !was_held && !row.left(now).is_zero(),
         }
     }
 
@@ -461,7 +461,7 @@
     }
 
     /// Notes that a request's quarantine, or its end, is to be kept outside this process.
-    pub fn save(&mut self, request: Fingerprint) {
+    pub fn mark_unsaved(&mut self, request: Fingerprint) {
         self.unsaved.insert(request);
     }
 
