--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -10,7 +10,7 @@
 use crate::question;
 pub use crate::receiver::handle_message;
 use crate::sender::GONE_SAID_FOR;
-pub use crate::sender::{Outgoing, Sender};
+pub use crate::sender::{GossipSender, Outgoing};
 use crate::site::Site;
 use crate::site_view::SiteView;
 use crate::traffic::{self, Direction};
@@ -113,7 +113,7 @@
 where
     P: Protocol,
 {
-    let mut s = Sender::new(Arc::clone(&site));
+    let mut s = GossipSender::new(Arc::clone(&site));
     loop {
         let outgoing = s.next(&wanted).await;
         note_lost_time(&site);
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -86,7 +86,7 @@
 
 /// What one VM says, without the socket that it goes through.
 #[derive(Debug)]
-pub struct Sender<P> {
+pub struct GossipSender<P> {
     site: Arc<Site<P>>,
     /// Tells this start of the process from others.
     start: u64,
@@ -104,7 +104,7 @@
     turn: usize,
 }
 
-impl<P> Sender<P>
+impl<P> GossipSender<P>
 where
     P: Protocol,
 {
@@ -141,8 +141,8 @@
         let now = site.now();
         self.spoke = now;
         match occasion {
-            Occasion::Due => self.outgoing(now),
-            _ if self.may_say_all(now) => self.outgoing(now),
+            Occasion::Due => self.full_update(now),
+            _ if self.may_say_all(now) => self.full_update(now),
             Occasion::Changed => self.changes(now),
             Occasion::Wanted => self.wants(now).into_iter().collect(),
         }
@@ -157,7 +157,7 @@
     }
 
     /// Gives all that this VM says from time to time, and to whom.
-    pub fn outgoing(&mut self, now: Instant) -> Vec<Outgoing> {
+    pub fn full_update(&mut self, now: Instant) -> Vec<Outgoing> {
         self.said_all = now;
         let site = Arc::clone(&self.site);
         let mut view = site.view();
--- a/crates/limehollow-node/tests/left_alone.rs
+++ b/crates/limehollow-node/tests/left_alone.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use limehollow::roster::ModelRef;
-use limehollow_node::gossip::{Outgoing, Sender};
+use limehollow_node::gossip::{GossipSender, Outgoing};
 use limehollow_node::site::Site;
 use limehollow_wire::gossip::{Datagram, encode};
 use rig::{Plain, parse_settings};
@@ -53,7 +53,7 @@
             sleep(Duration::from_millis(2)).await;
         }
     });
-    let mut sender = Sender::new(site);
+    let mut sender = GossipSender::new(site);
     let (wanted, end) = (Notify::new(), Instant::now() + Duration::from_secs(10));
     let mut sum = 0;
     while let Ok(outgoing) = timeout_at(end, sender.next(&wanted)).await {
--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -15,7 +15,7 @@
 use limehollow::roster::Endpoint;
 use limehollow_node::edge::{Change, Feed};
 use limehollow_node::follow::follow;
-use limehollow_node::gossip::Sender;
+use limehollow_node::gossip::GossipSender;
 use limehollow_node::quarantine_sync::follow_peers;
 use limehollow_node::site::Site;
 use limehollow_node::{keys, limits, start};
@@ -299,7 +299,7 @@
             .push(tokio::spawn(limits::keep_pools(Arc::clone(&vm.site))));
         let (net, site, zone) = (self.net.clone(), Arc::clone(&vm.site), vm.zone);
         vm.tasks.push(tokio::spawn(async move {
-            let mut sender = Sender::new(Arc::clone(&site));
+            let mut sender = GossipSender::new(Arc::clone(&site));
             loop {
                 for out in sender.next(&Notify::new()).await {
                     net.deliver(zone, out);
--- a/crates/limehollow-node/tests/sums_in_parts.rs
+++ b/crates/limehollow-node/tests/sums_in_parts.rs
@@ -12,7 +12,7 @@
 use limehollow::instance::Instance;
 use limehollow::job::Job;
 use limehollow::roster::Endpoint;
-use limehollow_node::gossip::{Sender, handle_message};
+use limehollow_node::gossip::{GossipSender, handle_message};
 use limehollow_node::site::Site;
 use limehollow_wire::gossip::{Datagram, Message, Scope, encode};
 use rig::{Plain, endpoint, parse_settings};
@@ -41,7 +41,7 @@
 /// Has a VM say that its zone has requests at the endpoints of these numbers. Gives the messages to the other zone.
 fn sums(
     from: &Arc<Site<Plain>>,
-    sender: &mut Sender<Plain>,
+    sender: &mut GossipSender<Plain>,
     busy: std::ops::Range<usize>,
 ) -> Vec<Message> {
     let now = Instant::now();
@@ -51,7 +51,7 @@
     };
     let rows: Vec<(Instance, Taken)> = busy.map(|i| (listed(i).instance, taken)).collect();
     from.view().taken.insert("vm-9".into(), (now, rows));
-    let out = sender.outgoing(now);
+    let out = sender.full_update(now);
     let zone = out.into_iter().filter(|(m, _)| m.scope == Scope::Zone);
     zone.map(|(m, _)| m).collect()
 }
@@ -84,7 +84,7 @@
             ([127, 0, 0, 2], 7000).into(),
             250,
         );
-        let mut sender = Sender::new(Arc::clone(&here));
+        let mut sender = GossipSender::new(Arc::clone(&here));
         // All but the last are busy, then only the first half: what was said before must not stay.
         for (busy, free) in [
             (0..endpoints - 1, endpoints - 1..endpoints),
