--- a/crates/limehollow-node/src/outbox.rs
+++ b/crates/limehollow-node/src/outbox.rs
@@ -42,7 +42,7 @@
     }
 
     /// Takes the reports that go into the next message.
-    pub fn take(&mut self) -> Vec<HoldingsReport> {
+    pub fn next_batch(&mut self) -> Vec<HoldingsReport> {
         let mut due: Vec<&mut Row> = self.rows.values_mut().collect();
         due.sort_by_key(|r| (r.said, r.number));
         due.truncate(MAX_REPORTS);
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -167,7 +167,7 @@
         let told = view.quarantine.take_told(now);
         let mut own = self.own(now, view, told.here);
         own.rates = self.rates(now, view);
-        own.reports = view.reports.take();
+        own.reports = view.reports.next_batch();
         own.wants = std::mem::take(&mut view.unsent_loads).into_iter().collect();
         let mut to = view.peers.told_here(now);
         if !own.wants.is_empty() {
@@ -200,7 +200,7 @@
         let told = view.quarantine.take_told(now);
         let mut own = self.own(now, view, told.here);
         own.rates = self.rates(now, view);
-        own.reports = view.reports.take();
+        own.reports = view.reports.next_batch();
         let to = view.peers.told_here(now);
         let mut outgoing = abroad(&own, now, view, told.abroad);
         outgoing.extend(list_news(&own, view, &to));
--- a/crates/limehollow-node/tests/outbox.rs
+++ b/crates/limehollow-node/tests/outbox.rs
@@ -22,7 +22,7 @@
     }
     let mut said: BTreeMap<SmolStr, usize> = BTreeMap::new();
     loop {
-        let reports = outbox.take();
+        let reports = outbox.next_batch();
         if reports.is_empty() {
             break;
         }
@@ -44,7 +44,7 @@
         for i in 1..=24 {
             outbox.add(report(round * 24 + i, 1));
         }
-        was_said |= outbox.take().contains(&report(0, 1));
+        was_said |= outbox.next_batch().contains(&report(0, 1));
     }
     assert!(was_said);
 }
@@ -53,12 +53,12 @@
 fn take_new_report_replaces_the_old() {
     let mut outbox = Outbox::default();
     outbox.add(report(1, 1));
-    assert_eq!(outbox.take(), [report(1, 1)]);
+    assert_eq!(outbox.next_batch(), [report(1, 1)]);
     outbox.add(report(1, 2));
-    assert_eq!(outbox.take(), [report(1, 2)]);
+    assert_eq!(outbox.next_batch(), [report(1, 2)]);
 }
 
 #[test]
 fn take_nothing() {
-    assert_eq!(Outbox::default().take(), []);
+    assert_eq!(Outbox::default().next_batch(), []);
 }
