--- a/crates/limehollow-node/src/follow.rs
+++ b/crates/limehollow-node/src/follow.rs
@@ -5,7 +5,7 @@
 //! store; the rest listen to them, so that calls don't grow with each VM's waiting.
 
 use crate::edge::{Changes, Feed, Protocol, States, Store, StoreError};
-pub use crate::follower::SETTLE;
+pub use crate::follower::SETTLE_TIME;
 use crate::follower::{Follower, PeerState, read_to};
 use crate::list;
 use crate::site::Site;
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -18,7 +18,7 @@
 pub(crate) const LONGEST_PAUSE: Duration = Duration::from_millis(1000);
 /// How long after the store's return entries that vanished around its outage may take to come back: the platform
 /// says about two seconds.
-pub const SETTLE: Duration = Duration::from_millis(2500);
+pub const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
 /// How long after the store's return an entry may show an endpoint that was removed before: one that nobody writes goes after three
 /// heartbeats.
@@ -364,7 +364,7 @@
         // An absence of a moment may lie between two calls; only the era shows it then.
         let sound_since =
             returned.map_or(freshness.sound_since(), |t| t.max(freshness.sound_since()));
-        Some(sound_since + SETTLE)
+        Some(sound_since + SETTLE_TIME)
     }
 
     /// Gives until when entries are in doubt that were removed before the store's return.
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -35,10 +35,10 @@
 /// may be slow two hundred times. A call that began in an outage is never answered, so this is what an outage is longer
 /// for this VM than for the store.
 const LONGEST_ANSWER: Duration = Duration::from_millis(1000);
-/// How often the VM that leads its zone calls while the store is away. Entries that lapsed may come back for [`SETTLE`] from when it is
+/// How often the VM that leads its zone calls while the store is away. Entries that lapsed may come back for [`SETTLE_TIME`] from when it is
 /// found to be back; both together have to be less than the time after which the rules hold again, 3 s on the smallest sites.
 ///
-/// [`SETTLE`]: crate::follower::SETTLE
+/// [`SETTLE_TIME`]: crate::follower::SETTLE
 const SEEK_EVERY: Duration = Duration::from_millis(300);
 /// The longest wait before a VM that can't read the store asks another one for its state. It spreads the VMs of a zone, and the
 /// first to get the state may pass its list on.
--- a/crates/limehollow-node/tests/following.rs
+++ b/crates/limehollow-node/tests/following.rs
@@ -4,7 +4,7 @@
 
 use limehollow::log_position::LogPosition;
 use limehollow_node::edge::{Change, Feed};
-use limehollow_node::follow::{SETTLE, follow};
+use limehollow_node::follow::{SETTLE_TIME, follow};
 use limehollow_node::site::Site;
 use limehollow_wire::gossip::{ListChange, ListChanges, Reading};
 use rig::{Memory, NoStates, Plain, catalog, endpoint, settings};
@@ -202,10 +202,10 @@
     store.add(Feed::Endpoints, Change::EndpointGone("i-1".into()));
     store.add(Feed::Endpoints, Change::EndpointGone("i-2".into()));
     store.set_away(false);
-    sleep(SETTLE.mul_f64(0.5)).await;
+    sleep(SETTLE_TIME.mul_f64(0.5)).await;
     assert_eq!(endpoints(&site), ["i-1", "i-2"]);
     store.add(Feed::Endpoints, listed(2));
-    sleep(SETTLE * 2).await;
+    sleep(SETTLE_TIME * 2).await;
     assert_eq!(endpoints(&site), ["i-2"]);
 }
 
