--- a/crates/limehollow-node/src/settings.rs
+++ b/crates/limehollow-node/src/settings.rs
@@ -37,7 +37,8 @@
 pub enum ChoicePolicy {
     /// The VM that keeps the places of its model's endpoints.
     #[default]
-    Keeper,
+    #[serde(rename = "keeper")]
+    Coordinator,
     /// The VM that has the request, by what it knows.
     Own,
 }
