--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -30,7 +30,7 @@
 
 /// From where a change was learnt, for the lines on endpoints.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Learnt {
+pub(crate) enum ChangeSource {
     /// The platform's store.
     Store,
     /// A VM of the zone, which passes on what it reads.
@@ -172,7 +172,7 @@
             return here;
         }
         self.note_position(answer.next);
-        self.apply(Learnt::Store, answer.changes, whole);
+        self.apply(ChangeSource::Store, answer.changes, whole);
         answer.next
     }
 
@@ -229,7 +229,7 @@
             }
             Feed::Endpoints | Feed::Vms => listed(state),
         };
-        self.apply(Learnt::State, changes, true);
+        self.apply(ChangeSource::State, changes, true);
         Some(at)
     }
 
@@ -258,7 +258,7 @@
         }
     }
 
-    pub(crate) fn apply(&mut self, learnt: Learnt, changes: Vec<Change>, whole: bool) {
+    pub(crate) fn apply(&mut self, learnt: ChangeSource, changes: Vec<Change>, whole: bool) {
         let now = self.site.now();
         let position = position(self.site.positions(), self.feed);
         let mut seen = BTreeSet::new();
@@ -380,7 +380,7 @@
         }
         let due = std::mem::take(&mut self.site.view().doubtful);
         let changes = due.into_values().map(Change::Endpoint).collect();
-        self.apply(Learnt::Store, changes, false);
+        self.apply(ChangeSource::Store, changes, false);
     }
 
     /// Notes a record that can't be read. An entry of the list takes its endpoint out of use; a line says so once, and
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 use crate::edge::{Change, Changes, Feed, NoAnswerSnafu, Protocol, States, Store, StoreError};
-use crate::follower::{Follower, Learnt, read_to};
+use crate::follower::{ChangeSource, Follower, read_to};
 use crate::site::Site;
 use crate::start;
 use limehollow::freshness::ReadPace;
@@ -294,7 +294,8 @@
         self.next = Some(offer.to);
         self.f.note_position(offer.to);
         let changes = offer.changes.into_iter().map(Change::from);
-        self.f.apply(Learnt::Neighbour, changes.collect(), false);
+        self.f
+            .apply(ChangeSource::Neighbour, changes.collect(), false);
     }
 
     /// Puts changes of the list that were read into the messages for the VMs of the zone.
