--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -1,6 +1,6 @@
-//! The state that the parts of the process share.
+//! The state that the tasks of the process share.
 //!
-//! All of it is used on one thread; the locks are never held over an `await`.
+//! All tasks run on one thread; no lock is held over an `await`.
 
 use crate::clock::Clock;
 use crate::edge::{Feed, Protocol};
@@ -33,51 +33,53 @@
 /// The state of one process.
 #[derive(Debug)]
 pub struct Site<P> {
-    /// The settings, which may change while the process runs.
+    /// The settings, which are replaced when the file is reloaded.
     pub settings: ArcSwap<NodeSettings>,
-    /// This VM.
+    /// The name of this VM.
     pub own_vm: VmName,
-    /// Its availability zone.
+    /// The availability zone of this VM.
     pub zone: ZoneName,
     /// The configuration in force.
     pub catalog: ArcSwapOption<Catalog>,
-    /// What callers and endpoints speak.
+    /// The protocol of callers and endpoints.
     pub protocol: P,
-    /// The clock by which ages are reckoned.
+    /// The clock for ages and deadlines; it also counts the time for which the machine was suspended.
     pub clock: Arc<Clock>,
     /// Connections to endpoints for callers' requests.
     pub pool: Pool,
-    /// Connections to endpoints for reports and orders: a new one may have to wait for a place at an endpoint
-    /// that is full, which is when an order matters most.
+    /// Connections to endpoints for reports and orders. They have a pool of their own because a new
+    /// connection may have to wait at an endpoint that is full, which is when an order matters most.
     pub control_pool: Pool,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// Told whenever an endpoint or what it holds has changed.
+    /// Notified when an endpoint or its holdings have changed.
     pub endpoints_changed: Notify,
-    /// Told when a prompt has been read, or a request has ended.
+    /// Notified when an endpoint has processed a prompt or a request has ended.
     pub capacity_freed: Notify,
-    /// Told when another VM has read the configuration further than this one.
+    /// Notified when another VM has read the configuration further than this VM.
     pub configuration_behind: Notify,
-    /// Told when another VM has read the list of endpoints further than this one.
+    /// Notified when another VM has read the list of endpoints further than this VM.
     pub endpoints_behind: Notify,
-    /// Told when it became known whether an endpoint has crashed.
+    /// Notified when a check has shown whether an endpoint crashed.
     pub crash_known: Notify,
-    /// Told when another VM knows other requests that crash endpoints.
+    /// Notified when the quarantine digest of another VM differs from that of this VM.
     pub quarantine_differs: Notify,
-    /// Told when a request was quarantined, or cleared.
+    /// Notified when a request was quarantined or cleared and the store doesn't have that yet.
     pub quarantine_unsaved: Notify,
-    /// Told when something has changed that the VMs of the zone should know at once.
+    /// Notified when something has changed that the VMs of the zone should receive before the next regular
+    /// message.
     pub urgent_update: Notify,
-    /// Told when a request waits for something that isn't loaded, which the controller should know at once.
+    /// Notified when a request waits for a model or adapter that isn't loaded; the controller should learn
+    /// of it at once.
     pub load_requested: Notify,
-    /// Told when there is a VM that the store doesn't show.
+    /// Notified when there is a VM that the store doesn't list.
     pub vm_unlisted: Notify,
-    /// Questions to other VMs.
+    /// Pending queries to other VMs.
     pub questions: Questions,
-    /// Told when the holder of the lease has resigned.
+    /// Notified when the holder of the lease has resigned.
     pub lease_free: Notify,
-    list_tx: UnboundedSender<ListChanges>,
-    list_rx: Mutex<Option<UnboundedReceiver<ListChanges>>>,
+    list_changes_tx: UnboundedSender<ListChanges>,
+    list_changes_rx: Mutex<Option<UnboundedReceiver<ListChanges>>>,
     view: Mutex<SiteView>,
     stopping: AtomicBool,
 }
@@ -86,18 +88,18 @@
 where
     P: Protocol,
 {
-    /// Makes the state of a process that knows nothing yet.
+    /// Creates the state of a process that has read nothing yet, with the system's clock.
     #[must_use]
     pub fn new(settings: NodeSettings, protocol: P) -> Arc<Self> {
         Self::with_clock(settings, protocol, Arc::new(Clock::system()))
     }
 
-    /// Makes the state of a process with this clock.
+    /// Creates the state of a process that has read nothing yet, with the given clock.
     #[must_use]
     pub fn with_clock(settings: NodeSettings, protocol: P, clock: Arc<Clock>) -> Arc<Self> {
         let zone = ZoneName::from(settings.availability_zone.as_str());
         let view = SiteView::new(&settings, clock.now());
-        let (list_tx, list_rx) = mpsc::unbounded_channel();
+        let (list_changes_tx, list_changes_rx) = mpsc::unbounded_channel();
         Arc::new(Self {
             own_vm: VmName::from(settings.name.as_str()),
             zone,
@@ -120,25 +122,26 @@
             capacity_freed: Notify::new(),
             configuration_behind: Notify::new(),
             endpoints_behind: Notify::new(),
-            list_tx,
-            list_rx: Mutex::new(Some(list_rx)),
+            list_changes_tx,
+            list_changes_rx: Mutex::new(Some(list_changes_rx)),
             view: Mutex::new(view),
             stopping: AtomicBool::new(false),
         })
     }
 
-    /// Gives the time now, by the clock that goes on while the machine is suspended.
+    /// Returns the current time, including the time for which the machine was suspended.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Gives the shared knowledge; never hold it over an `await`.
+    /// Locks and returns this VM's view of the deployment. The guard must not be held over an `await`.
     pub fn view(&self) -> MutexGuard<'_, SiteView> {
-        // A panic elsewhere leaves counters at worst a little off.
+        // A panic while the lock was held leaves counters slightly wrong at worst.
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a configuration in force, unless one as new is.
+    /// Puts a configuration in force and returns `true`, unless the current one has the same or a later
+    /// version.
     pub fn set_catalog(&self, c: Catalog) -> bool {
         let current = self.catalog.load();
         if current.as_ref().is_some_and(|now| now.version >= c.version) {
@@ -163,7 +166,7 @@
         true
     }
 
-    /// Takes in that a zone is evacuated or taken back.
+    /// Marks a zone as evacuated, or as back in use.
     pub(crate) fn set_evacuated(&self, zone: &ZoneName, begins: bool) {
         if self.view().roster.set_evacuated(zone, begins) {
             if begins {
@@ -175,25 +178,28 @@
         }
     }
 
-    /// Takes all zones back that a whole reading doesn't name.
-    pub(crate) fn retain_evacuated(&self, named: &BTreeSet<ZoneName>) {
-        let evacuated: BTreeSet<ZoneName> = self.view().roster.evacuated().cloned().collect();
-        for zone in evacuated.difference(named) {
+    /// Marks all zones as back in use that a complete read of the configuration doesn't name as evacuated.
+    pub(crate) fn retain_evacuated(&self, evacuated_now: &BTreeSet<ZoneName>) {
+        let known: BTreeSet<ZoneName> = self.view().roster.evacuated().cloned().collect();
+        for zone in known.difference(evacuated_now) {
             self.set_evacuated(zone, false);
         }
     }
 
-    /// Says that the process is told to end.
+    /// Marks the process as stopping.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether the process was told to end.
+    /// Returns `true` if the process has been asked to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Tells whether callers should come here. Where keys are needed and don't count, another VM may serve them.
+    /// Returns `true` if callers should be sent to this VM.
+    ///
+    /// Where keys are required but this VM's configuration is too old to check them, another VM may still
+    /// be able to.
     pub fn is_ready(&self) -> bool {
         let catalog = self.catalog.load();
         let Some(c) = catalog.as_ref().filter(|_| !self.is_stopping()) else {
@@ -203,7 +209,7 @@
         keys && !self.view().roster.is_empty()
     }
 
-    /// Tells whether this VM's configuration is fresh enough for its keys to count.
+    /// Returns `true` if this VM's configuration is fresh enough for its keys to be accepted.
     pub fn keys_are_valid(&self) -> bool {
         let Some(bound) = self.settings.load().key_bound() else {
             return true;
@@ -211,29 +217,30 @@
         self.view().confirmation.allows(self.now(), bound)
     }
 
-    /// Offers changes of the list that another VM of the zone has read to the follower of the list.
+    /// Hands changes of the list that another VM of the zone has read to the follower of the list.
     pub fn offer_list_changes(&self, l: ListChanges) {
         if l.to <= self.view().positions.endpoints {
             return;
         }
-        // Without a follower, as in some tests, nobody needs them.
-        let _nobody = self.list_tx.send(l);
+        // Without a follower, as in some tests, the changes aren't needed.
+        let _nobody = self.list_changes_tx.send(l);
     }
 
-    /// Takes the changes of the list that other VMs offer; there is one follower of the list.
+    /// Returns the receiver for the changes of the list that other VMs have read, or `None` if the follower
+    /// of the list has already taken it.
     pub fn take_list_changes(&self) -> Option<UnboundedReceiver<ListChanges>> {
-        self.list_rx
+        self.list_changes_rx
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .take()
     }
 
-    /// Gives how far this process has read what it follows.
+    /// Returns the position up to which this process has read each feed.
     pub fn positions(&self) -> Positions {
         self.view().positions
     }
 
-    /// Takes in that the store has come back from a copy: what was written there since the copy was made is gone.
+    /// Records that the store was restored from a copy: what was written after the copy was made is lost.
     pub(crate) fn record_store_return(&self, era: u64) {
         let now = self.now();
         let mut view = self.view();
@@ -250,7 +257,8 @@
         }
     }
 
-    /// Takes in how far another VM has read and how fresh that is, and wakes the followers that are behind it.
+    /// Applies another VM's positions and the age of its copies, and wakes the followers that are behind
+    /// it.
     pub fn observe_peer(&self, vm: &SmolStr, p: Positions, r: Reading) {
         let now = self.now();
         let mut view = self.view();
@@ -273,7 +281,7 @@
         }
     }
 
-    /// Gives what is told when another VM has read a feed further than this one.
+    /// Returns the notification that another VM has read a feed further than this VM, if the feed has one.
     pub(crate) fn behind(&self, feed: Feed) -> Option<&Notify> {
         match feed {
             Feed::Configuration => Some(&self.configuration_behind),
@@ -282,7 +290,8 @@
         }
     }
 
-    /// Takes in how fresh another VM's copy is; `has_all` says whether this process's holds all that is in it.
+    /// Merges the freshness of another VM's copy; `has_all` is whether this VM's copy contains everything
+    /// in it.
     pub(crate) fn merge_freshness(
         &self,
         view: &mut SiteView,
@@ -296,12 +305,13 @@
         }
     }
 
-    /// Tells whether this process has what another VM needs for a start, with the list read beyond a position.
+    /// Returns `true` if this VM can hand over what another VM needs at its start, with the list read
+    /// beyond a position.
     pub fn has_all(&self, beyond: LogPosition) -> bool {
         start::has_all(self, beyond)
     }
 
-    /// Gives what this process has read of the store, for a VM that can't read it.
+    /// Returns what this VM has read from the store, for a VM that can't read the store.
     pub fn state(&self) -> State {
         let members = start::members(self);
         let view = self.view();
@@ -319,7 +329,7 @@
         }
     }
 
-    /// Gives the configuration that this process has read of the store.
+    /// Returns the configuration that this VM has read from the store.
     pub fn configuration(&self) -> State {
         let view = self.view();
         State {
@@ -331,7 +341,7 @@
         }
     }
 
-    /// Gives all that the process knows, for operators.
+    /// Returns the state of the process as JSON, for operators.
     pub fn dump(&self) -> serde_json::Value {
         let now = self.now();
         let view = self.view();
@@ -370,13 +380,13 @@
         })
     }
 
-    /// Takes in that a request waits here for something that isn't loaded, and tells the controller.
+    /// Records that a request waits for a model or adapter that isn't loaded, and notifies the controller.
     pub fn request_load(&self, m: &ModelRef) {
         self.view().request_load(self.now(), m);
         self.load_requested.notify_one();
     }
 
-    /// Takes in what the controller knows of an endpoint.
+    /// Applies the controller's report on an endpoint.
     pub fn report(&self, now: Instant, r: &HoldingsReport) {
         let update = self.view().report(now, r);
         self.log_restart(&r.instance, update, "report");
@@ -385,7 +395,8 @@
         }
     }
 
-    /// Takes in that another start answers at an endpoint's address, and tells the other VMs. Gives whether it is news.
+    /// Records that another instance answers at an endpoint's address, and has the other VMs informed.
+    /// Returns `true` if this VM didn't know.
     pub fn record_gone(&self, instance: &Instance) -> bool {
         let is_news = self.view().record_gone(self.now(), instance);
         if is_news {
@@ -394,7 +405,7 @@
         is_news
     }
 
-    /// Brings the metrics on requests that crash endpoints up to date.
+    /// Updates the metrics on requests that crash endpoints.
     pub(crate) fn update_quarantine_metrics(&self) {
         let view = self.view();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
@@ -404,54 +415,57 @@
         self.metrics.requests_suspected.set(count(suspected));
     }
 
-    /// Brings the metrics on endpoints that take less up to date.
+    /// Updates the metrics on endpoints with limits, cold endpoints and evacuated zones.
     pub(crate) fn update_backpressure_metrics(&self) {
         let view = self.view();
         let count = |n: usize| i64::try_from(n).unwrap_or(i64::MAX);
-        let wishes = &view.balance.backpressure;
+        let backpressure = &view.balance.backpressure;
         self.metrics
             .endpoints_limited
-            .set(count(wishes.limits().count()));
+            .set(count(backpressure.limits().count()));
         self.metrics
             .endpoints_cold
-            .set(count(wishes.cold().count()));
+            .set(count(backpressure.cold().count()));
         let evacuated = view.roster.evacuated().count();
         self.metrics.zones_evacuated.set(count(evacuated));
     }
 
-    /// Takes in that a start of an endpoint has crashed, and tells the other VMs what it ran.
+    /// Records that an instance of an endpoint has crashed, and has the other VMs informed of the requests
+    /// that it ran.
     pub fn record_crash(&self, start: &Instance) {
-        let ran_some = self.view().record_crash(self.now(), start);
-        if ran_some {
+        let has_suspects = self.view().record_crash(self.now(), start);
+        if has_suspects {
             self.urgent_update.notify_one();
             self.quarantine_unsaved.notify_one();
         }
     }
 
-    /// Clears a request that endpoints crashed under, and tells the other VMs. Gives whether anything spoke against it.
+    /// Clears a request under which endpoints crashed, and has the other VMs informed. Returns `true` if
+    /// there was a record of it.
     pub fn clear_request(&self, request: Fingerprint, by: &'static str) -> bool {
         let was_suspect = self.view().quarantine.clear(self.now(), request);
         if was_suspect {
-            self.tell_cleared(request, by);
+            self.publish_cleared(request, by);
         }
         was_suspect
     }
 
-    /// Takes in that an endpoint has run a request to its end: it doesn't crash those that run it.
+    /// Records that an endpoint has completed a request: the request doesn't crash the endpoints that run
+    /// it.
     pub(crate) fn record_completed(&self, request: Fingerprint) {
         let now = self.now();
         if self.view().quarantine.note_answer(now, request) {
-            self.tell_cleared(request, "an endpoint that ran it");
+            self.publish_cleared(request, "an endpoint that ran it");
         }
     }
 
-    fn tell_cleared(&self, request: Fingerprint, by: &'static str) {
+    fn publish_cleared(&self, request: Fingerprint, by: &'static str) {
         tracing::info!(%request, by, "the request is cleared");
         self.urgent_update.notify_one();
         self.quarantine_unsaved.notify_one();
     }
 
-    /// Says so if an endpoint was seen to start again, and by whose word.
+    /// Counts and logs a restart of an endpoint, with the source that showed it.
     pub(crate) fn log_restart(&self, instance: &Instance, update: Update, by: &'static str) {
         if update.is_restart() {
             self.metrics.endpoint_restarts.inc();
@@ -460,7 +474,7 @@
     }
 }
 
-/// Gives what this VM has of limits, for operators.
+/// Returns the limits of which this VM has tokens, for operators.
 fn limits(q: &Quotas) -> Vec<serde_json::Value> {
     let rows = q.holdings().map(|(subject, own, pool)| {
         let whose = match subject {
@@ -476,7 +490,7 @@
     rows.collect()
 }
 
-/// Gives the quarantined requests, for operators.
+/// Returns the quarantined requests, for operators.
 fn quarantined(q: &Quarantine, now: Instant) -> Vec<serde_json::Value> {
     let rows = q.quarantined(now).map(|(request, left, crashes)| {
         serde_json::json!({
