--- a/crates/limehollow-node/src/site_view.rs
+++ b/crates/limehollow-node/src/site_view.rs
@@ -1,4 +1,5 @@
-//! What a process knows of endpoints, load, demand, the other VMs and requests that crash endpoints.
+//! This VM's view of the deployment: endpoints, load, demand, the other VMs, and requests that crash
+//! endpoints.
 
 use crate::edge::{Feed, Vm};
 use crate::feed_reads::FeedReads;
@@ -31,115 +32,120 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The removal of an endpoint from the list.
+/// A removal of an endpoint from the list, and the era of the store in which it was read.
 #[derive(Clone, Copy, Debug)]
 pub struct Removal {
     at: Instant,
     era: u64,
 }
 
-/// A return of the store from a copy.
+/// A restore of the store from a copy.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreReturn {
-    /// The era that began with it.
+    /// The era that began with the restore.
     pub era: u64,
-    /// When this VM learnt of it.
+    /// When this VM learned of the restore.
     pub at: Instant,
 }
 
-/// How long a removal is remembered: a copy from which the store comes back is some seconds old.
+/// How long a removal is remembered. A copy from which the store is restored is only some seconds old.
 const REMOVAL_REMEMBERED: Duration = Duration::from_secs(60);
 
-/// What is known of endpoints, load and demand.
+/// What this VM knows of the deployment, from the store and from other VMs.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each says another thing")]
 pub struct SiteView {
-    /// This VM.
+    /// This VM, as the store should list it.
     own_vm: Vm,
-    /// The endpoints.
+    /// The known endpoints and what each holds.
     pub roster: Roster,
-    /// What is where.
+    /// The load of the endpoints, by which a request's endpoint is chosen.
     pub balance: Balance,
-    /// The budget for repeats, by service.
+    /// The retry budget of each service.
     pub repeats: BTreeMap<ServiceName, RepeatWindow>,
-    /// What this VM's callers ask for.
+    /// The demand of this VM's callers.
     pub arrivals: Arrivals,
-    /// What the callers of other VMs, and of other zones, ask for, and when that was heard.
+    /// The demand of the callers of each other VM and zone, with the time of the report.
     pub demand: BTreeMap<VmName, (Instant, Vec<(ModelRef, f32)>)>,
-    /// What other VMs have at the endpoints, as the VMs of this zone said it last.
+    /// The usage of endpoints that each other VM of this zone reported last, with the time of the report.
     pub taken: BTreeMap<VmName, (Instant, Vec<(Instance, Taken)>)>,
-    /// When each part of another zone's sums was passed on last, by this VM.
+    /// When this VM last relayed each part of another zone's summary.
     pub relayed_at: BTreeMap<(SmolStr, u8), Instant>,
-    /// In how many parts each zone said its sums last.
+    /// The number of parts of the last summary of each zone.
     pub zone_parts: BTreeMap<SmolStr, u8>,
-    /// Starts of endpoints that are gone, though the list still shows them, and when that was learnt.
+    /// Instances of endpoints that are gone although the list still has them, with the time at which this
+    /// VM learned that.
     pub gone: BTreeMap<Instance, Instant>,
-    /// Starts of endpoints that said that they leave, and when that was heard.
+    /// Instances of endpoints that announced that they leave, with the time at which this VM learned that.
     pub leaving: BTreeMap<Instance, Instant>,
-    /// What requests wait for here that isn't loaded, until it is told.
+    /// Models and adapters that requests on this VM wait for and that the controller hasn't been sent yet.
     pub unsent_loads: BTreeSet<ModelRef>,
-    /// What requests of any VM wait for, and when that was last heard.
+    /// Models and adapters that requests on any VM wait for, with the time of the last report.
     pub requested_loads: BTreeMap<ModelRef, Instant>,
-    /// Who holds the lease to give orders, as far as is known.
+    /// The holder of the lease to give orders, as far as this VM knows, and whether this VM should apply
+    /// for it.
     pub candidacy: Candidacy,
-    /// What this VM says of the lease itself, and until when.
+    /// The notice that this VM publishes about the lease, and until when.
     pub lease_notice: Option<(Notice, Instant)>,
-    /// Changes of the list that this VM read lately, for the VMs of its zone.
+    /// Changes of the list that this VM has read recently, to be sent to the VMs of its zone.
     pub recent_list_changes: VecDeque<(Instant, ListChanges)>,
-    /// How far this process has read what it follows.
+    /// The position up to which this VM has read each feed.
     pub positions: Positions,
-    /// How fresh that is.
+    /// How fresh the copy of each feed is.
     pub feed_reads: FeedReads,
-    /// Endpoints that vanished around an outage and may come back: they are still in use.
+    /// Endpoints that vanished around an outage of the store and may reappear. They stay in use meanwhile.
     pub held_removals: BTreeSet<SmolStr>,
-    /// Endpoints that were removed lately, and in which era of the store.
+    /// Endpoints that were removed recently.
     pub removed: BTreeMap<SmolStr, Removal>,
-    /// Entries that the store shows since its return from a copy, of endpoints that were removed before: they are not in use.
+    /// Entries that the store shows since its restore, for endpoints that were removed before it. They
+    /// aren't in use.
     pub doubtful: BTreeMap<SmolStr, Endpoint>,
-    /// The store's last return from a copy.
+    /// The last restore of the store from a copy.
     pub store_return: Option<StoreReturn>,
-    /// The VM that has read each feed furthest, and how far.
+    /// The VM that has read each feed furthest, with its position.
     pub furthest: BTreeMap<Feed, (SmolStr, LogPosition)>,
-    /// The VM of this zone that has read the list furthest, and how far.
+    /// The VM of this zone that has read the list furthest, with its position.
     pub furthest_in_zone: Option<(SmolStr, LogPosition)>,
-    /// What the controller on this VM found out lately, for the other VMs.
+    /// Reports of the controller on this VM, to be sent to the other VMs.
     pub reports: Outbox,
-    /// Whether this VM can't stand for the lease: its last call for it failed, or it was told to end.
+    /// Whether this VM can't apply for the lease: its last call for the lease failed, or the process is
+    /// stopping.
     pub lease_failing: bool,
     /// The other VMs.
     pub peers: Peers,
-    /// Which requests crash the endpoints that run them.
+    /// The requests that crash the endpoints that run them.
     pub quarantine: Quarantine,
-    /// Endpoints that may have crashed, and what they ran.
+    /// Endpoints that may have crashed, with the requests that they ran.
     pub crash_watch: CrashWatch,
     /// Until when the configuration is known to have been the newest.
     pub confirmation: Confirmation,
-    /// What this VM has of workspaces' limits.
+    /// The tokens that this VM has of the limits of workspaces and endpoints.
     pub quotas: Quotas,
-    /// What endpoints of each service bear while they are cold.
+    /// The rate that endpoints of each service accept while they are cold.
     pub cold_specs: BTreeMap<ServiceName, ColdSpec>,
-    /// Whether the VMs of the site were read from the store.
+    /// Whether the list of the site's VMs has been read from the store.
     pub has_vms: bool,
-    /// Whether another VM handed its state over at the start.
+    /// Whether another VM handed its state over when this VM started.
     pub has_peer_state: bool,
-    /// Whether this VM is still getting to know the site.
+    /// Whether this VM is still fetching the site's state at its start.
     pub is_starting: bool,
-    /// The VMs that the store shows.
+    /// The VMs that the store lists.
     pub listed: BTreeMap<SmolStr, Vm>,
-    /// Whether this VM is among them.
+    /// Whether the store lists this VM.
     pub is_listed: bool,
-    /// VMs that the store doesn't show yet and that this one writes there.
+    /// VMs that the store doesn't list yet and that this VM writes to the store.
     pub unlisted: BTreeMap<SmolStr, Vm>,
-    /// From whom those get the state that asked this VM at their start.
+    /// The assignment of a parent to each VM that asked this VM for one at its start.
     pub start_tree: StartTree,
-    /// VMs that keep pools or places and were silent lately.
+    /// Coordinators that didn't answer recently.
     pub silences: Silences,
-    /// What the other VMs said last of what they know of such requests, and where to ask for it.
+    /// The digest that each other VM last sent of its quarantine records, and the address to fetch them
+    /// from.
     pub quarantines: BTreeMap<SmolStr, Said>,
 }
 
 impl SiteView {
-    /// Knows nothing yet.
+    /// Creates the view of a VM that has read nothing yet.
     pub(crate) fn new(settings: &NodeSettings, now: Instant) -> Self {
         let zone = ZoneName::from(settings.availability_zone.as_str());
         Self {
@@ -196,13 +202,13 @@
         }
     }
 
-    /// Tells whether another VM has read a feed further than this one.
+    /// Returns `true` if another VM has read a feed further than this VM.
     pub(crate) fn is_behind(&self, feed: Feed) -> bool {
         let theirs = self.furthest.get(&feed).map(|(_, at)| *at);
         theirs > Some(position(self.positions, feed))
     }
 
-    /// Takes in how far a VM of this zone has read the list.
+    /// Records how far a VM of this zone has read the list.
     pub(crate) fn record_furthest_in_zone(&mut self, vm: &SmolStr, position: LogPosition) {
         let best = self.furthest_in_zone.as_ref().map(|(_, at)| *at);
         if Some(position) >= best && !position.is_start() {
@@ -210,14 +216,16 @@
         }
     }
 
-    /// Tells whether a VM of this zone has read the list further than this one. Other zones are read for at other moments: what
-    /// they are ahead comes by the own zone's reader.
+    /// Returns `true` if a VM of this zone has read the list further than this VM.
+    ///
+    /// Other zones are read for at other times. How far they are ahead is learned from the reader of the
+    /// own zone.
     pub(crate) fn is_behind_zone(&self) -> bool {
         let theirs = self.furthest_in_zone.as_ref().map(|(_, at)| *at);
         theirs > Some(self.positions.endpoints)
     }
 
-    /// Gives the VM from which a list is got that is further: one of this zone, if there is one.
+    /// Returns the VM from which to fetch a later list, preferably one of this zone.
     pub(crate) fn furthest_in_list(&self) -> Option<&SmolStr> {
         let here = self
             .furthest_in_zone
@@ -227,19 +235,19 @@
         here.or(any).map(|(vm, _)| vm)
     }
 
-    /// Takes in that a request waits here for something that isn't loaded.
+    /// Records that a request on this VM waits for a model or adapter that isn't loaded.
     pub(crate) fn request_load(&mut self, now: Instant, m: &ModelRef) {
         self.unsent_loads.insert(m.clone());
         self.requested_loads.insert(m.clone(), now);
     }
 
-    /// Takes in where a VM is.
+    /// Adds a VM, or updates its address and zone. Returns `true` if it was unknown.
     pub(crate) fn add_vm(&mut self, vm: &Vm) -> bool {
         let (name, zone) = (vm.name.clone(), vm.zone.clone());
         self.peers.learn(name, zone, vm.address, vm.millicores)
     }
 
-    /// Notes that the store shows a VM.
+    /// Records that the store lists a VM.
     pub(crate) fn record_listed(&mut self, vm: Vm) {
         if self.unlisted.get(&vm.name) == Some(&vm) {
             self.unlisted.remove(&vm.name);
@@ -248,7 +256,8 @@
         self.listed.insert(vm.name.clone(), vm);
     }
 
-    /// Takes in all VMs that the store shows. Gives whether it has lost some that it showed before: they are to be written again.
+    /// Applies the complete list of VMs of the store. Returns `true` if the store has lost some that it
+    /// listed before; they are queued to be written again.
     pub(crate) fn record_all_listed(&mut self, vms: Vec<Vm>) -> bool {
         let before = std::mem::take(&mut self.listed);
         self.is_listed = false;
@@ -264,28 +273,29 @@
         has_lost
     }
 
-    /// Tells whether an entry that the store shows in this era was removed in an earlier one: it may be the copy's.
+    /// Returns `true` if an entry that the store shows in this era was removed in an earlier era: it may
+    /// come from the copy.
     pub(crate) fn may_be_from_copy(&self, id: &str, era: u64) -> bool {
         let is_known = self.roster.key(id).is_some();
         !is_known && self.removed.get(id).is_some_and(|r| r.era < era)
     }
 
-    /// Forgets removals that no copy can undo any more.
+    /// Forgets removals that are older than any copy from which the store may be restored.
     pub(crate) fn forget_removals(&mut self, now: Instant) {
         self.removed
             .retain(|_, r| now.duration_since(r.at) < REMOVAL_REMEMBERED);
     }
 
-    /// Takes in how many VMs another one knows of; limits are shared among the most that any knows. It is zero where that
-    /// one doesn't know yet.
-    pub fn update_vm_count(&mut self, now: Instant, told: usize) {
+    /// Applies the number of VMs that another VM knows, or 0 if it doesn't know yet. Limits are shared
+    /// among the largest number that any VM knows.
+    pub fn update_vm_count(&mut self, now: Instant, reported: usize) {
         let read = if self.has_vms { self.peers.known() } else { 0 };
-        self.quotas.set_vms(now, told.max(read));
+        self.quotas.set_vms(now, reported.max(read));
     }
 
-    /// Takes in an entry of the list.
+    /// Applies an entry of the list.
     pub fn list(&mut self, now: Instant, e: Endpoint) -> Update {
-        let former = self.start_of(&e.instance.id);
+        let former = self.instance_of(&e.instance.id);
         let (id, cold) = (e.instance.id.clone(), millis(e.cold_ms));
         let update = self.roster.list(now, e);
         self.forget(now, update.replaced, former);
@@ -295,9 +305,9 @@
         update
     }
 
-    /// Takes in what the controller knows of an endpoint.
+    /// Applies the controller's report on an endpoint.
     pub(crate) fn report(&mut self, now: Instant, r: &HoldingsReport) -> Update {
-        let former = self.start_of(&r.instance.id);
+        let former = self.instance_of(&r.instance.id);
         let update = self.roster.report(now, r);
         self.forget(now, update.replaced, former);
         if update.is_restart() {
@@ -306,7 +316,7 @@
         update
     }
 
-    /// Puts in force what an endpoint takes of all VMs together, after something changed of it.
+    /// Updates the limit of an endpoint over all VMs from its current backpressure.
     pub(crate) fn set_limit(&mut self, now: Instant, key: EndpointKey) {
         let Some(e) = self.roster.get(key) else {
             return;
@@ -319,7 +329,7 @@
         }
     }
 
-    /// Takes in what endpoints of each service bear while they are cold.
+    /// Sets the rates that endpoints of each service accept while they are cold.
     pub(crate) fn set_cold_specs<I>(&mut self, now: Instant, specs: I)
     where
         I: IntoIterator<Item = (ServiceName, ColdSpec)>,
@@ -332,7 +342,7 @@
         }
     }
 
-    /// Takes in that an endpoint is cold for so long, and bears less meanwhile.
+    /// Records that an endpoint is cold for the given time and accepts a lower rate until then.
     pub(crate) fn record_cold(&mut self, now: Instant, key: EndpointKey, left: Duration) {
         let Some(e) = self.roster.get(key).filter(|_| !left.is_zero()) else {
             return;
@@ -349,7 +359,8 @@
         self.set_limit(now, key);
     }
 
-    /// Takes in that a start of an endpoint is new, of which only another VM's report tells: the list says later how cold it is.
+    /// Treats a new instance that is known only from another VM's report as cold, until the list has its
+    /// remaining time.
     fn record_new_start(&mut self, now: Instant, id: &SmolStr) {
         let key = self.roster.key(id);
         let service = key.and_then(|k| Some(&self.roster.get(k)?.service));
@@ -359,7 +370,7 @@
         }
     }
 
-    /// Ends the cold times that are over.
+    /// Ends the cold periods that are over.
     pub(crate) fn warm_up(&mut self, now: Instant) {
         for key in self.balance.backpressure.warm_up(now) {
             self.set_limit(now, key);
@@ -376,22 +387,23 @@
         self.quotas.retain_endpoints(is_limited);
     }
 
-    /// Takes an endpoint out of use whose entry can't be read. Gives whether it was in use.
+    /// Takes an endpoint with an unreadable entry out of use. Returns `true` if it was in use.
     pub fn set_unreadable(&mut self, id: &SmolStr) -> bool {
         self.held_removals.remove(id);
         let gone = self.roster.set_unreadable(id.clone());
         if let Some(key) = gone {
-            // Its endpoint may well live: this says nothing of a crash.
+            // The endpoint may still run, so this isn't counted as a crash.
             self.balance.forget(key);
         }
         gone.is_some()
     }
 
-    /// Takes in that another start answers at an endpoint's address. Gives whether that is news: the other VMs are told
-    /// then.
+    /// Records that another instance answers at an endpoint's address. Returns `true` if this VM didn't
+    /// know, in which case it informs the other VMs.
     ///
-    /// The list shows a start that crashed for three heartbeats. While each of 300 VMs had to find out by itself, 805
-    /// requests were sent to a former start within four seconds after 50 endpoints of 240 had crashed and come back.
+    /// The list shows a crashed instance for three heartbeats. While each of 300 VMs had to find out by
+    /// itself, 805 requests were sent to a former instance within four seconds after 50 of 240 endpoints
+    /// had crashed and come back.
     pub(crate) fn record_gone(&mut self, now: Instant, instance: &Instance) -> bool {
         let Some(key) = self.roster.find(instance) else {
             return false;
@@ -405,9 +417,11 @@
         is_news
     }
 
-    /// Takes in that an endpoint says itself that it leaves. Gives whether that is news: the other VMs are told then.
+    /// Records that an endpoint announced that it leaves. Returns `true` if this VM didn't know, in which
+    /// case it informs the other VMs.
     ///
-    /// Its entry on the list may say so much later: an endpoint that leaves while the store is away can't write it.
+    /// The endpoint's entry on the list may follow much later: an endpoint that leaves while the store is
+    /// away can't write it.
     pub(crate) fn record_leaving(&mut self, now: Instant, instance: &Instance) -> bool {
         let is_news = self.roster.note_leaving(instance);
         if is_news {
@@ -416,10 +430,10 @@
         is_news
     }
 
-    /// Drops an endpoint that is off the list. Gives whether it was there.
+    /// Drops an endpoint that is off the list. Returns `true` if it was known.
     pub fn drop_endpoint(&mut self, now: Instant, id: &str) -> bool {
         self.held_removals.remove(id);
-        let former = self.start_of(id);
+        let former = self.instance_of(id);
         let gone = self.roster.remove(id);
         self.forget(now, gone, former);
         if gone.is_some() {
@@ -430,14 +444,14 @@
         gone.is_some()
     }
 
-    /// Gives the start that is known of an endpoint, unless it has said that it leaves.
-    fn start_of(&self, id: &str) -> Option<Instance> {
+    /// Returns the known instance of an endpoint, unless it is leaving.
+    fn instance_of(&self, id: &str) -> Option<Instance> {
         let e = self.roster.get(self.roster.key(id)?)?;
         (!e.leaving).then(|| e.instance.clone())
     }
 
-    /// Forgets what is believed of a start of an endpoint that is gone. If it hadn't said that it leaves, and connections to
-    /// it had ended, it crashed.
+    /// Forgets the load of an endpoint's instance that is gone. If the instance hadn't announced that it
+    /// leaves and connections to it were cut off, it crashed.
     fn forget(&mut self, now: Instant, gone: Option<EndpointKey>, start: Option<Instance>) {
         let Some(key) = gone else { return };
         self.balance.forget(key);
@@ -446,7 +460,8 @@
         }
     }
 
-    /// Takes in that a start of an endpoint has crashed: what it ran is suspect. Gives whether it ran anything.
+    /// Records that an instance of an endpoint has crashed, which makes the requests that it ran suspect.
+    /// Returns `true` if it ran any.
     pub(crate) fn record_crash(&mut self, now: Instant, start: &Instance) -> bool {
         let cut_off = self.crash_watch.note_crashed(start);
         for c in &cut_off {
@@ -455,7 +470,7 @@
         !cut_off.is_empty()
     }
 
-    /// Takes in that a request ran on a start of an endpoint when that crashed.
+    /// Records that a request ran on an instance of an endpoint when the instance crashed.
     pub(crate) fn record_suspect(&mut self, now: Instant, start: &Instance, c: CutOff) {
         let tag = StartTag::from(start);
         let from = (c.request, c.origin);
@@ -475,13 +490,15 @@
         }
     }
 
-    /// Takes in what another VM knows of a request that endpoints crashed under.
+    /// Merges another VM's record of a request under which endpoints crashed. Returns `true` if it contains
+    /// something new.
     pub(crate) fn merge_crashes(&mut self, now: Instant, by: &str, r: &CrashRecord) -> bool {
         let outcome = self.quarantine.merge(now, r);
         if outcome.is_quarantined {
             self.log_quarantined(now, r.request, by);
             if self.peers.is_zone_leader(now) {
-                // Which VM's word was the last one needed is another one on each VM.
+                // The record that completes the evidence differs from VM to VM, so only the zone's leader
+                // writes the quarantine to the store.
                 self.quarantine.save(r.request);
             }
         }
