--- a/crates/limehollow-node/src/feed_reads.rs
+++ b/crates/limehollow-node/src/feed_reads.rs
@@ -1,4 +1,4 @@
-//! How fresh this process's copies of the store's feeds are, and when it reads them again.
+//! How fresh this process's copies of the store's feeds are, and how its last reads went.
 
 use crate::edge::Feed;
 use limehollow::freshness::Freshness;
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What is known of one copy.
+/// The state of one copy.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    /// By this process's reading and by what others told.
+    /// The freshness, by this process's own reads and by what other VMs reported.
     freshness: Freshness,
-    /// When the last read of its own began that was answered; none while it has only what another VM handed over.
+    /// When the last own read that was answered began; none while the copy only came from another VM.
     own: Option<Instant>,
-    /// When the first read began that failed since then.
+    /// When the first read that failed since then began.
     failed: Option<Instant>,
 }
 
-/// What is known of all copies.
+/// The freshness of the copies of all feeds.
 #[derive(Debug, Default)]
 pub struct FeedReads {
     rows: BTreeMap<Feed, Row>,
@@ -26,33 +26,36 @@
 
 /// Queries.
 impl FeedReads {
-    /// Gives how fresh a copy is; none while nothing has been read.
+    /// Returns how fresh a copy is, or `None` before the first read.
     #[must_use]
     pub fn freshness(&self, feed: Feed) -> Option<Freshness> {
         self.rows.get(&feed).map(|r| r.freshness)
     }
 
-    /// Tells whether the last read failed.
+    /// Returns `true` if the last read failed.
     #[must_use]
     pub fn is_failing(&self, feed: Feed) -> bool {
         self.rows.get(&feed).is_some_and(|r| r.failed.is_some())
     }
 
-    /// Tells whether this process can read a feed, as far as it has tried; one that has nothing yet can't.
+    /// Returns `true` if the last read of a feed was answered, and `false` if it failed or nothing has been
+    /// read yet.
     #[must_use]
     pub fn can_read(&self, feed: Feed) -> bool {
         self.rows.get(&feed).is_some_and(|r| r.failed.is_none())
     }
 
-    /// Gives when the last read of its own began; none while reads fail, or it has read nothing.
+    /// Returns when the last own read began, or `None` while reads fail or before the first own read.
     #[must_use]
     pub fn last_read(&self, feed: Feed) -> Option<Instant> {
         let row = self.rows.get(&feed).filter(|r| r.failed.is_none())?;
         row.own
     }
 
-    /// Gives what goes with this process's whole state: what it read and what it was told, since the state may have
-    /// come from others. It doesn't go round: a state is taken by who is behind it.
+    /// Returns the ages that go with this process's full state: from its own reads and from what other VMs
+    /// reported, since the state may have come from others.
+    ///
+    /// The ages can't circulate, as a state is applied only by a VM that is behind it.
     #[must_use]
     pub fn state_ages(&self, now: Instant) -> Reading {
         let ages = |feed| Some(Ages::at(now, self.freshness(feed)?));
@@ -62,10 +65,10 @@
         }
     }
 
-    /// Gives what other VMs are told.
+    /// Returns the ages that are sent to other VMs.
     ///
-    /// Only what this process read itself counts: were ages passed on that others told, each VM would take off the
-    /// time of the way, and a zone in which nobody reads would go on taking its list for fresh.
+    /// They count only this process's own reads. If reported ages were sent on, each VM would subtract the
+    /// network delay again, and a zone in which no VM reads would go on taking its list for fresh.
     #[must_use]
     pub fn own_ages(&self, now: Instant) -> Reading {
         let ages = |feed| {
@@ -80,12 +83,12 @@
     }
 }
 
-/// Commands.
+/// Updates.
 impl FeedReads {
-    /// Notes that a read was answered that began at this moment.
+    /// Records that a read that began at `began` was answered.
     ///
-    /// The store may have been away since the copy was last complete, if a read failed after that or the gap is too
-    /// long.
+    /// The store may have been away since the copy was last complete, if a read failed after that time or
+    /// the gap is longer than `longest_gap`.
     pub fn record_read(&mut self, feed: Feed, began: Instant, longest_gap: Duration) {
         let Some(row) = self.rows.get_mut(&feed) else {
             let row = Row {
@@ -103,19 +106,20 @@
         row.freshness = row.freshness.read(began, has_failed || is_long);
     }
 
-    /// Notes that a read failed that began at this moment.
+    /// Records that a read that began at `began` failed.
     pub fn record_failure(&mut self, feed: Feed, began: Instant) {
         if let Some(row) = self.rows.get_mut(&feed) {
             row.failed.get_or_insert(began);
         }
     }
 
-    /// Takes in what another VM told; `has_all` says whether this copy holds all that the other has read.
+    /// Applies the freshness that another VM reported; `has_all` is whether this copy contains everything
+    /// that the other VM has read.
     pub fn merge(&mut self, feed: Feed, other: Freshness, has_all: bool, longest_gap: Duration) {
         match self.rows.get_mut(&feed) {
             Some(row) => row.freshness = row.freshness.meet(other, has_all, longest_gap),
             None if has_all => {
-                // A copy that came whole from another VM before this one could read the store.
+                // The complete copy came from another VM before this one could read the store.
                 let row = Row {
                     freshness: other,
                     own: None,
