--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -1,4 +1,4 @@
-//! What all followers of the store share: taking changes in, and getting them from another VM.
+//! What all followers of the store share: applying changes, and fetching them from another VM.
 
 use crate::edge::{Change, Changes, Feed, Protocol, States, StoreError};
 use crate::logging::may_log;
@@ -13,33 +13,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The time between tries while the store is away: at first, and at most.
+/// The time between attempts to read the store while it is away: the first and the longest pause.
 pub(crate) const FIRST_PAUSE: Duration = Duration::from_millis(200);
 pub(crate) const LONGEST_PAUSE: Duration = Duration::from_millis(1000);
-/// How long after the store's return entries that vanished around its outage may take to come back: the platform
-/// says about two seconds.
+/// How long after the store's return entries that vanished around its outage may take to reappear. The
+/// platform states about two seconds.
 pub const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
-/// How long after the store's return an entry may show an endpoint that was removed before: one that nobody writes goes after three
-/// heartbeats.
-const DOUBT: Duration = Duration::from_millis(6000);
+/// How long after a restore of the store an entry may show an endpoint that was removed before. An entry
+/// that nobody writes is removed after three heartbeats.
+const DOUBT_TIME: Duration = Duration::from_millis(6000);
 
-/// How many VMs of a zone go on trying at that pace while they can't read the store. With more of them each waits longer, so that what they ask of
-/// it together stays the same however many they are.
-const TRYING: f64 = 8.0;
+/// How many VMs of a zone keep that pace while they can't read the store. With more VMs each waits longer,
+/// so that the total rate of their attempts doesn't depend on their number.
+const VMS_AT_FULL_PACE: f64 = 8.0;
 
-/// From where a change was learnt, for the lines on endpoints.
+/// From where a change was learned, for the log lines on endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ChangeSource {
     /// The platform's store.
     Store,
-    /// A VM of the zone, which passes on what it reads.
+    /// A VM of the zone that sends on what it reads.
     Neighbour,
-    /// The whole state of another VM.
+    /// The full state of another VM.
     State,
 }
 
-/// What another VM has read of the store.
+/// The state that another VM has read from the store.
 pub(crate) struct PeerState {
     pub(crate) vm: SmolStr,
     pub(crate) state: State,
@@ -68,15 +68,15 @@
         }
     }
 
-    /// Gives the longest time between two tries to read the store.
+    /// Returns the longest time between two attempts to read the store.
     pub(crate) fn longest_pause(&self) -> Duration {
-        let here = self.site.view().peers.alive_here(self.site.now());
+        let vms = self.site.view().peers.alive_here(self.site.now());
         #[expect(clippy::cast_precision_loss, reason = "a zone has few VMs")]
-        let here = here as f64;
-        LONGEST_PAUSE.mul_f64((here / TRYING).max(1.0))
+        let vms = vms as f64;
+        LONGEST_PAUSE.mul_f64((vms / VMS_AT_FULL_PACE).max(1.0))
     }
 
-    /// Gives the time until the next try after so many failures.
+    /// Returns the time until the next attempt after a number of consecutive failures.
     pub(crate) fn pause(&self, failures: u32) -> Duration {
         let pause = FIRST_PAUSE * 2_u32.saturating_pow(failures.saturating_sub(1).min(16));
         if pause <= LONGEST_PAUSE {
@@ -89,9 +89,12 @@
         jittered(pause.min(longest))
     }
 
-    /// Gives how much longer a copy may stay as it is that is too old, where those who read for the zone say that they can't: the store
-    /// is away for them, and many VMs that try as well would find it away too. `luck` of 0 to 1 spreads them.
-    pub(crate) fn patience(&self, luck: f64) -> Duration {
+    /// Returns how much longer a copy that is too old may be kept without a read, if the VMs that read for
+    /// the zone report that they can't.
+    ///
+    /// The store is then away for those VMs, and many more VMs trying as well would find it away too.
+    /// `jitter` of 0 to 1 spreads them.
+    pub(crate) fn extra_wait(&self, jitter: f64) -> Duration {
         let now = self.site.now();
         let is_alone = {
             let view = self.site.view();
@@ -101,12 +104,12 @@
             return Duration::ZERO;
         }
         let beyond = self.longest_pause().saturating_sub(LONGEST_PAUSE);
-        beyond.mul_f64(luck)
+        beyond.mul_f64(jitter)
     }
 
-    /// Waits until another VM has read further, and for as long as this one would take to hear of it
-    /// otherwise.
-    pub(crate) async fn behind(&self, own_time: Duration) {
+    /// Waits until another VM has read further, and then for the time after which this VM would learn of
+    /// the change by itself.
+    pub(crate) async fn wait_behind(&self, own_time: Duration) {
         let Some(behind) = self.site.behind(self.feed) else {
             return std::future::pending().await;
         };
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Waits until a VM of this zone has read the list further than this one for so long.
-    pub(crate) async fn behind_here(&self, time: Duration) {
+    /// Waits until a VM of this zone has had a later list than this VM for the given time.
+    pub(crate) async fn wait_behind_zone(&self, time: Duration) {
         loop {
             self.site.endpoints_behind.notified().await;
             sleep(time).await;
@@ -130,12 +133,12 @@
         }
     }
 
-    /// Tells whether another VM has read further.
+    /// Returns `true` if another VM has read further.
     pub(crate) fn is_behind(&self) -> bool {
         self.site.view().is_behind(self.feed)
     }
 
-    pub(crate) fn note_position(&self, next: LogPosition) {
+    pub(crate) fn set_position(&self, next: LogPosition) {
         let before = position(self.site.positions(), self.feed);
         if !before.is_start() && next.era() > before.era() {
             self.site.record_store_return(next.era());
@@ -148,36 +151,39 @@
         }
     }
 
-    /// Tells whether an answer that ends here was given before the store came back from a copy: it says nothing of the store as it is.
-    pub(crate) fn is_from_before_return(&self, next: LogPosition) -> bool {
+    /// Returns `true` if an answer that ends at this position was given before the store was restored from
+    /// a copy: it doesn't describe the current store.
+    pub(crate) fn is_from_before_restore(&self, next: LogPosition) -> bool {
         next.era() < position(self.site.positions(), self.feed).era()
     }
 
-    /// Takes in what the store answered to a read that began at this moment. Gives where to read on.
+    /// Applies the store's answer to a read that began at `began`. Returns the position from which to read
+    /// on.
     ///
-    /// Others may have told more than an answer that was long on its way. Applied on top, it would bring back for good what is gone.
-    pub(crate) fn take_answer(
+    /// Other VMs may have sent later changes while a slow answer was on its way. Applied after those, the
+    /// answer would bring back for good what is gone.
+    pub(crate) fn apply_answer(
         &mut self,
         began: Instant,
         answer: Changes,
         whole: bool,
     ) -> LogPosition {
-        let here = position(self.site.positions(), self.feed);
-        if self.is_from_before_return(answer.next) {
-            tracing::info!(feed = ?self.feed, position = %answer.next, "an answer from before the store's return");
-            return here;
+        let current = position(self.site.positions(), self.feed);
+        if self.is_from_before_restore(answer.next) {
+            tracing::info!(feed = ?self.feed, position = %answer.next, "ignoring an answer from before the store was restored");
+            return current;
         }
-        self.regained(began);
-        if answer.next < here {
-            return here;
+        self.record_success(began);
+        if answer.next < current {
+            return current;
         }
-        self.note_position(answer.next);
+        self.set_position(answer.next);
         self.apply(ChangeSource::Store, answer.changes, whole);
         answer.next
     }
 
-    /// Asks the VM that has read furthest for what it has read, if it is further than this one.
-    pub(crate) async fn fetch_ahead(&self) -> Option<PeerState> {
+    /// Fetches the state of the VM that has read furthest, if it has read further than this VM.
+    pub(crate) async fn fetch_furthest(&self) -> Option<PeerState> {
         let (vm, address) = {
             let view = self.site.view();
             let (vm, at) = view.furthest.get(&self.feed)?;
@@ -194,25 +200,29 @@
             Ok(state) => Some(PeerState { vm, state }),
             Err(why) => {
                 tracing::info!(%vm, why, "no state from another VM");
-                self.forget_ahead();
+                self.forget_furthest();
                 None
             }
         }
     }
 
-    /// Forgets which VM has read furthest: it hands nothing over that is further. Who is ahead says so again.
-    pub(crate) fn forget_ahead(&self) {
+    /// Forgets which VM has read furthest, as it has nothing newer to hand over. A VM that is further
+    /// reports so again.
+    pub(crate) fn forget_furthest(&self) {
         self.site.view().furthest.remove(&self.feed);
     }
 
-    /// Takes in what another VM has read. Gives the new position, if it is further than this VM.
-    pub(crate) fn take_state(&mut self, PeerState { vm, state }: PeerState) -> Option<LogPosition> {
+    /// Applies another VM's state. Returns the new position if that VM had read further than this VM.
+    pub(crate) fn apply_state(
+        &mut self,
+        PeerState { vm, state }: PeerState,
+    ) -> Option<LogPosition> {
         let at = position(state.positions, self.feed);
         if at <= position(self.site.positions(), self.feed) {
             return None;
         }
         tracing::info!(feed = ?self.feed, %vm, position = %at, "read from another VM");
-        self.note_position(at);
+        self.set_position(at);
         let now = self.site.now();
         if let Some(ages) = ages(state.reading, self.feed) {
             let mut view = self.site.view();
@@ -233,8 +243,8 @@
         Some(at)
     }
 
-    /// Notes that a read that began at this moment failed.
-    pub(crate) fn lose(&mut self, began: Instant, e: &StoreError) {
+    /// Records that a read that began at `began` failed.
+    pub(crate) fn record_failure(&mut self, began: Instant, e: &StoreError) {
         self.site.view().feed_reads.record_failure(self.feed, began);
         if self.lost.is_none() {
             tracing::warn!(feed = ?self.feed, error = %e, "store lost");
@@ -242,8 +252,8 @@
         }
     }
 
-    /// Notes that a read that began at this moment was answered.
-    fn regained(&mut self, began: Instant) {
+    /// Records that a read that began at `began` was answered.
+    fn record_success(&mut self, began: Instant) {
         if self.feed == Feed::Configuration {
             self.site.view().confirmation.confirm(began);
         }
@@ -264,7 +274,7 @@
         let mut seen = BTreeSet::new();
         let mut evacuated = BTreeSet::new();
         let mut vms = Vec::new();
-        let mut news = false;
+        let mut has_changes = false;
         for c in changes {
             match c {
                 Change::Catalog(c) => {
@@ -279,7 +289,7 @@
                     let (instance, leaving) = (e.instance.clone(), e.leaving);
                     let mut view = self.site.view();
                     if whole && view.may_be_from_copy(&instance.id, position.era()) {
-                        tracing::info!(%instance, "an entry that was removed before the store's return is in doubt");
+                        tracing::info!(%instance, "an entry that was removed before the store was restored is in doubt");
                         view.doubtful.insert(instance.id, e);
                         continue;
                     }
@@ -291,12 +301,12 @@
                     if leaving || update.is_news && !whole {
                         tracing::info!(%instance, leaving, ?learnt, %position, "endpoint listed");
                     }
-                    news = true;
+                    has_changes = true;
                 }
                 Change::EndpointGone(instance) => {
                     self.site.view().doubtful.remove(&instance);
-                    self.vanish(now, &instance);
-                    news = true;
+                    self.remove_or_hold(now, &instance);
+                    has_changes = true;
                 }
                 Change::Vm(vm) => {
                     let mut view = self.site.view();
@@ -314,9 +324,9 @@
                     self.site.set_evacuated(&zone, begins);
                 }
                 Change::Malformed { key, why } => {
-                    self.note_unreadable(&key, &why);
+                    self.record_unreadable(&key, &why);
                     seen.insert(key);
-                    news = true;
+                    has_changes = true;
                 }
             }
         }
@@ -336,44 +346,45 @@
             self.site.view().roster.retain_unreadable(&seen);
             let listed = ids(&self.site.view().roster);
             for id in listed.difference(&seen) {
-                self.vanish(now, id);
+                self.remove_or_hold(now, id);
             }
         }
-        if news {
-            self.tell_change();
+        if has_changes {
+            self.publish_change();
         }
     }
 
-    /// Says that endpoints have changed, to requests that wait and to who reads the metrics.
-    fn tell_change(&self) {
+    /// Updates the number of endpoints in the metrics and wakes the requests that wait for a change.
+    fn publish_change(&self) {
         let n = self.site.view().roster.len();
         let n = i64::try_from(n).unwrap_or(i64::MAX);
         self.site.metrics.endpoints.set(n);
         self.site.endpoints_changed.notify_waiters();
     }
 
-    /// Gives until when entries that vanish may come back.
+    /// Returns until when vanished entries may reappear.
     ///
-    /// It counts from the store's return as the VMs together know it. Counted from this VM's own first answer, the
-    /// removal of an endpoint was held back for 3.4 s with 8 VMs and 13 s with 150, on a bound of 2 s and 4 s
-    /// (`tests/departures.rs`).
+    /// The time counts from the store's return as all VMs together know it. When it was counted from this
+    /// VM's own first answer, the removal of an endpoint was held back for 3.4 s with 8 VMs and 13 s with
+    /// 150, where 2 s and 4 s are allowed (`tests/departures.rs`).
     pub(crate) fn settled_at(&self) -> Option<Instant> {
         let view = self.site.view();
         let freshness = view.feed_reads.freshness(self.feed)?;
         let returned = view.store_return.map(|r| r.at);
-        // An absence of a moment may lie between two calls; only the era shows it then.
+        // A very short outage may fall between two calls. Only the era shows it then.
         let sound_since =
             returned.map_or(freshness.sound_since(), |t| t.max(freshness.sound_since()));
         Some(sound_since + SETTLE_TIME)
     }
 
-    /// Gives until when entries are in doubt that were removed before the store's return.
+    /// Returns until when entries that were removed before the store's restore are in doubt.
     pub(crate) fn doubted_until(&self) -> Option<Instant> {
         let view = self.site.view();
-        Some(view.store_return.filter(|_| !view.doubtful.is_empty())?.at + DOUBT)
+        Some(view.store_return.filter(|_| !view.doubtful.is_empty())?.at + DOUBT_TIME)
     }
 
-    /// Takes in the entries that were in doubt for long enough: they would be gone by now if nobody wrote them.
+    /// Applies the entries that were in doubt for long enough: without somebody writing them they would be
+    /// gone by now.
     pub(crate) fn end_doubt(&mut self) {
         if self.doubted_until().is_none_or(|t| self.site.now() < t) {
             return;
@@ -383,9 +394,9 @@
         self.apply(ChangeSource::Store, changes, false);
     }
 
-    /// Notes a record that can't be read. An entry of the list takes its endpoint out of use; a line says so once, and
-    /// as many in all as lines on requests are allowed.
-    fn note_unreadable(&self, key: &SmolStr, why: &str) {
+    /// Records that a record can't be read. An unreadable entry of the list takes its endpoint out of use.
+    /// Each entry is logged once, within the limit for lines on requests.
+    fn record_unreadable(&self, key: &SmolStr, why: &str) {
         let mut view = self.site.view();
         let is_entry = self.feed == Feed::Endpoints;
         let is_known = is_entry && view.roster.unreadable().any(|id| id == key);
@@ -400,7 +411,7 @@
         }
     }
 
-    fn vanish(&self, now: Instant, id: &SmolStr) {
+    fn remove_or_hold(&self, now: Instant, id: &SmolStr) {
         match self.settled_at().filter(|t| now < *t) {
             Some(due) => {
                 let held_ms = due.duration_since(now).as_millis();
@@ -412,7 +423,7 @@
         }
     }
 
-    /// Waits until a moment, for good if there is none.
+    /// Waits until a time; forever if there is none.
     pub(crate) async fn until(&self, at: Option<Instant>) {
         match at {
             Some(t) => self.site.clock.sleep_until(t).await,
@@ -420,8 +431,8 @@
         }
     }
 
-    /// Drops what was held back, once nothing can come back any more.
-    pub(crate) fn drop_withheld(&mut self) {
+    /// Drops the endpoints whose removal was held back, once no entry can reappear.
+    pub(crate) fn apply_held_removals(&mut self) {
         let is_settled = self.settled_at().is_none_or(|t| self.site.now() >= t);
         if !is_settled || self.site.view().held_removals.is_empty() {
             return;
@@ -430,7 +441,7 @@
         for id in &due {
             self.drop_endpoint(id);
         }
-        self.tell_change();
+        self.publish_change();
     }
 
     fn drop_endpoint(&self, id: &SmolStr) {
@@ -449,7 +460,7 @@
     }
 }
 
-/// Gives how far this VM has read a feed; none where it has read nothing.
+/// Returns how far this VM has read a feed, or `None` if it has read nothing.
 pub(crate) fn read_to<P>(site: &Site<P>, feed: Feed) -> Option<LogPosition>
 where
     P: Protocol,
@@ -465,7 +476,7 @@
     }
 }
 
-/// Gives another VM's list as changes.
+/// Returns another VM's list as changes.
 fn listed(state: State) -> Vec<Change> {
     let unreadable = state.unreadable.into_iter().map(ListChange::Unreadable);
     let endpoints = state.endpoints.into_iter().map(ListChange::Listed);
--- a/crates/limehollow-node/src/list.rs
+++ b/crates/limehollow-node/src/list.rs
@@ -1,10 +1,10 @@
 //! Following the list of endpoints.
 //!
-//! One VM of a zone reads the list at an even pace and passes on what changed; the others take it from there and read
-//! for themselves once their copy is older than [`ReadPace::stale_after`]. So an endpoint that leaves is known in
-//! time on every VM that reaches the store, whether the reader is gone, turned away, frozen or cut off: within
-//! 0.6 of the time that the site allows with 8, 71 and 150 VMs (`tests/departures.rs`), where it took up to 50 s when
-//! neighbours only listened.
+//! One VM of a zone reads the list at fixed intervals and sends the changes to the others. The others apply
+//! them, and read the store themselves once their copy is older than [`ReadPace::stale_after`]. So every VM
+//! that reaches the store learns in time of an endpoint that leaves, whether the reader is gone, rejected,
+//! frozen or cut off: within 0.6 of the allowed time with 8, 71 and 150 VMs (`tests/departures.rs`). It
+//! took up to 50 s when the other VMs only waited for the reader's messages.
 
 use crate::clock::Clock;
 use crate::edge::{Change, Changes, Feed, NoAnswerSnafu, Protocol, States, Store, StoreError};
@@ -22,55 +22,59 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout};
 
-/// How long another VM's state is waited for: some steps of the tree.
+/// How long to wait for another VM's state: the time of some levels of the start tree.
 const CATCH_UP_WITHIN: Duration = Duration::from_millis(1500);
-/// How long a VM is behind others of its zone before it asks them: what they pass on arrives with the word that they are ahead.
+/// How long a VM is behind others of its zone before it asks them. The changes usually arrive with the
+/// messages that show that the others are ahead.
 const BEHIND_FOR: Duration = Duration::from_millis(300);
-/// How many parts are passed on of one reading. Of more each VM of the zone would be sent megabytes by the one that reads; they get the state over
-/// the tree of [`limehollow::start_tree`] instead.
+/// The largest number of parts of one read that are sent to the zone. With more, the reader would send
+/// megabytes to each VM of the zone; the VMs get the state over the tree of [`limehollow::start_tree`]
+/// instead.
 const MAX_PARTS: usize = 8;
-/// Records of the list that go into one part of what is passed on: with a few hundred bytes each they fit in a datagram beside the rest.
-const PART: usize = 64;
-/// How long a call may take at most that was begun anew after others got no answer: the store answers in 4 ms, so it
-/// may be slow two hundred times. A call that began in an outage is never answered, so this is what an outage is longer
-/// for this VM than for the store.
+/// Records of the list in one part. With a few hundred bytes each, they fit in a datagram beside its other
+/// fields.
+const PART_RECORDS: usize = 64;
+/// The longest time for a call after earlier calls got no answer. The store answers in 4 ms, so it may be
+/// 200 times slower. A call that began in an outage is never answered, so for this VM an outage lasts
+/// longer by up to this time.
 const LONGEST_ANSWER: Duration = Duration::from_millis(1000);
-/// How often the VM that leads its zone calls while the store is away. Entries that lapsed may come back for [`SETTLE_TIME`] from when it is
-/// found to be back; both together have to be less than the time after which the rules hold again, 3 s on the smallest sites.
+/// How often the VM that leads its zone calls while the store is away. Vanished entries may reappear for
+/// [`SETTLE_TIME`] after the store's return is found. The sum of both has to be less than the time after
+/// which the deployment's rules hold again, 3 s on the smallest sites.
 ///
-/// [`SETTLE_TIME`]: crate::follower::SETTLE
-const SEEK_EVERY: Duration = Duration::from_millis(300);
-/// The longest wait before a VM that can't read the store asks another one for its state. It spreads the VMs of a zone, and the
-/// first to get the state may pass its list on.
+/// [`SETTLE_TIME`]: crate::follower::SETTLE_TIME
+const PROBE_EVERY: Duration = Duration::from_millis(300);
+/// The longest wait before a VM that can't read the store asks another VM for its state. It spreads the VMs
+/// of a zone; the first to get the state may send the list on.
 const FETCH_SPREAD: Duration = Duration::from_millis(150);
 
-/// What a follower of the list does next.
+/// The next step of a follower of the list.
 enum Work {
-    /// Takes in changes that another VM has read.
-    Take(ListChanges),
-    /// Reads the store.
+    /// Apply changes that another VM has read.
+    Apply(ListChanges),
+    /// Read the store.
     Read,
-    /// Asks another VM for its state.
-    Fetch,
-    /// Gets the state as at a start: what others have read wasn't passed on, or didn't arrive.
+    /// Fetch another VM's state.
+    FetchState,
+    /// Fetch the state as at a start: what others have read wasn't sent or didn't arrive.
     CatchUp,
-    /// Drops what was held back, or takes in what was in doubt.
-    Settle,
+    /// Drop endpoints whose removal was held back, or apply entries that were in doubt.
+    ApplyHeld,
 }
 
 struct ListFollower<P, S, T> {
     f: Follower<P, T>,
     store: S,
     offers: UnboundedReceiver<ListChanges>,
-    /// Where to read on; none while nothing has been read.
+    /// The position from which to read on; none before the first read.
     next: Option<LogPosition>,
     /// When the last read began.
     began: Option<Instant>,
-    /// When the store may be tried again after failures, and how many there were.
+    /// When the store may be tried again after failures, and the number of consecutive failures.
     retry_at: Instant,
     failures: u32,
-    /// Where in the spread this VM finds its copy stale, drawn anew for each read.
-    luck: f64,
+    /// This VM's random share of delays, 0 to 1, drawn anew for each read.
+    jitter: f64,
 }
 
 /// Follows the list for as long as the process lives.
@@ -81,7 +85,7 @@
     T: States,
 {
     let Some(offers) = site.take_list_changes() else {
-        tracing::error!("the list has a follower already");
+        tracing::error!("the list of endpoints already has a follower");
         return;
     };
     let now = site.now();
@@ -95,23 +99,23 @@
         next,
         retry_at: now,
         failures: 0,
-        luck: rand::random(),
+        jitter: rand::random(),
     };
     loop {
-        match l.work().await {
-            Work::Take(offer) => l.take(offer),
+        match l.next_work().await {
+            Work::Apply(offer) => l.apply_offer(offer),
             Work::Read => {
                 if l.failures > 0 || !l.catch_up().await {
                     l.read().await;
                 }
             }
-            Work::Fetch => l.fetch().await,
+            Work::FetchState => l.fetch().await,
             Work::CatchUp => {
                 l.catch_up().await;
             }
-            Work::Settle => {}
+            Work::ApplyHeld => {}
         }
-        l.f.drop_withheld();
+        l.f.apply_held_removals();
         l.f.end_doubt();
     }
 }
@@ -122,31 +126,31 @@
     S: Store,
     T: States,
 {
-    /// Waits until something is to be done.
-    async fn work(&mut self) -> Work {
+    /// Waits until there is something to do.
+    async fn next_work(&mut self) -> Work {
         loop {
             let due = self.due();
-            let settled_at = earliest(self.settled_at(), self.f.doubted_until());
+            let settled_at = earliest(self.held_until(), self.f.doubted_until());
             let (can_fetch, fetch_after) = (self.failures > 0, self.fetch_after());
             tokio::select! {
                 biased;
-                Some(offer) = self.offers.recv() => return Work::Take(offer),
-                () = self.f.until(settled_at) => return Work::Settle,
+                Some(offer) = self.offers.recv() => return Work::Apply(offer),
+                () = self.f.until(settled_at) => return Work::ApplyHeld,
                 () = self.f.site.clock.sleep_until(due) => {
-                    // What others told meanwhile may have put it off.
+                    // Messages of other VMs may have moved the next read.
                     if self.due() <= self.f.site.now() {
                         return Work::Read;
                     }
                 }
-                () = self.f.behind(fetch_after), if can_fetch => return Work::Fetch,
-                () = self.f.behind_here(BEHIND_FOR + fetch_after), if !can_fetch => return Work::CatchUp,
+                () = self.f.wait_behind(fetch_after), if can_fetch => return Work::FetchState,
+                () = self.f.wait_behind_zone(BEHIND_FOR + fetch_after), if !can_fetch => return Work::CatchUp,
             }
         }
     }
 
-    /// Gives when the store is to be read.
+    /// Returns when the store is to be read.
     fn due(&self) -> Instant {
-        let patience = self.f.patience(self.luck);
+        let extra_wait = self.f.extra_wait(self.jitter);
         let view = self.f.site.view();
         let (Some(began), Some(freshness)) =
             (self.began, view.feed_reads.freshness(Feed::Endpoints))
@@ -157,39 +161,40 @@
         let due = if view.peers.is_zone_reader(self.f.site.now()) {
             began + pace.every()
         } else {
-            freshness.complete_at() + pace.stale_after(self.luck) + patience
+            freshness.complete_at() + pace.stale_after(self.jitter) + extra_wait
         };
         let expected = view.peers.reader_expected(self.f.site.now());
         due.max(self.retry_at).max(expected.unwrap_or(due))
     }
 
-    /// Gives how long a VM that can't read the store waits before it asks another one that is further.
+    /// Returns how long a VM that can't read the store waits before it asks another VM that has read
+    /// further.
     fn fetch_after(&self) -> Duration {
-        FETCH_SPREAD.mul_f64(self.luck)
+        FETCH_SPREAD.mul_f64(self.jitter)
     }
 
     fn pace(&self) -> ReadPace {
         self.f.site.settings.load().list_pace()
     }
 
-    fn settled_at(&self) -> Option<Instant> {
+    fn held_until(&self) -> Option<Instant> {
         let holds_back = !self.f.site.view().held_removals.is_empty();
         holds_back.then(|| self.f.settled_at()).flatten()
     }
 
-    /// Reads the store, and takes in what others offer or hand over meanwhile: a call that is never answered holds
-    /// nothing up.
+    /// Reads the store. Meanwhile it applies what other VMs send or hand over, so that a call that is never
+    /// answered holds nothing up.
     async fn read(&mut self) {
         let began = self.f.site.now();
         self.began = Some(began);
-        self.luck = rand::random();
+        self.jitter = rand::random();
         let (store, from, limit) = (self.store.clone(), self.next, self.answer_within());
         let clock = Arc::clone(&self.f.site.clock);
-        let seeks = self.seeks_return();
+        let probes = self.probes_store();
         let read = async move {
             match from {
                 None => (began, store.newest(Feed::Endpoints).await),
-                Some(from) if seeks => seek(store, clock, from, limit).await,
+                Some(from) if probes => probe_changes(store, clock, from, limit).await,
                 Some(from) => (began, changes(store, from, limit).await),
             }
         };
@@ -198,19 +203,19 @@
         let (began, read) = loop {
             tokio::select! {
                 read = &mut read => break read,
-                Some(offer) = self.offers.recv() => self.take(offer),
-                () = self.f.behind(fetch_after), if can_fetch => self.fetch().await,
+                Some(offer) = self.offers.recv() => self.apply_offer(offer),
+                () = self.f.wait_behind(fetch_after), if can_fetch => self.fetch().await,
             }
         };
         match read {
             Ok(changes) => self.succeed(began, from, changes),
             Err(StoreError::Forgotten { .. }) => {
-                tracing::info!(feed = ?Feed::Endpoints, "history is gone; reading anew");
+                tracing::info!(feed = ?Feed::Endpoints, "the store no longer has the changes since this position; reading the whole feed");
                 self.read_anew().await;
             }
             Err(e) => {
-                self.f.lose(began, &e);
-                // Others may know at once that this VM doesn't read for them.
+                self.f.record_failure(began, &e);
+                // Other VMs should know at once that this VM doesn't read for them.
                 self.f.site.urgent_update.notify_one();
                 self.failures += 1;
                 self.retry_at = self.f.site.now() + self.pause();
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Gets the state of a VM that is ahead, where others read for this VM. Gives whether it did.
+    /// Fetches the state of a VM that is ahead, if others read for this VM. Returns `true` if that worked.
     async fn catch_up(&mut self) -> bool {
         let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
         if reads_for_others || !self.f.is_behind() {
@@ -233,7 +238,7 @@
         true
     }
 
-    /// Gets the list whole, from another VM where one has read on.
+    /// Fetches the complete list, from another VM if one has read further.
     async fn read_anew(&mut self) {
         if self.catch_up().await {
             return;
@@ -242,21 +247,21 @@
         self.began = None;
     }
 
-    /// Tells whether this VM finds out for its zone when the store is back.
-    fn seeks_return(&self) -> bool {
+    /// Returns `true` if this VM probes for its zone whether the store is back.
+    fn probes_store(&self) -> bool {
         let now = self.f.site.now();
         self.failures > 0 && self.f.site.view().peers.is_zone_leader(now)
     }
 
-    /// Gives how long to wait after failures.
+    /// Returns how long to wait after a failure.
     fn pause(&self) -> Duration {
-        if self.seeks_return() {
-            return SEEK_EVERY;
+        if self.probes_store() {
+            return PROBE_EVERY;
         }
         self.f.pause(self.failures)
     }
 
-    /// Gives how long a call may take: longer after failures, since the store may only be slow.
+    /// Returns how long a call may take: longer after failures, as the store may only be slow.
     fn answer_within(&self) -> Duration {
         let limit = self.pace().answer_within() * 2_u32.saturating_pow(self.failures.min(8));
         limit.min(LONGEST_ANSWER)
@@ -265,25 +270,25 @@
     fn succeed(&mut self, began: Instant, from: Option<LogPosition>, read: Changes) {
         self.failures = 0;
         self.retry_at = began;
-        self.pass_on(from, &read);
-        self.next = Some(self.f.take_answer(began, read, from.is_none()));
+        self.send_on(from, &read);
+        self.next = Some(self.f.apply_answer(began, read, from.is_none()));
         let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
         if !reads_for_others {
-            // The zone's reader was late: the others needn't read as well.
+            // The zone's reader was late; the other VMs needn't read as well.
             self.f.site.urgent_update.notify_one();
         }
     }
 
     async fn fetch(&mut self) {
         let limit = self.pace().answer_within() * 2;
-        // A state that doesn't come in time is asked for again when a message shows who is ahead.
-        if let Ok(Some(state)) = timeout(limit, self.f.fetch_ahead()).await {
-            self.next = self.f.take_state(state).or(self.next);
+        // If the state doesn't come in time, it is requested again when a message shows which VM is ahead.
+        if let Ok(Some(state)) = timeout(limit, self.f.fetch_furthest()).await {
+            self.next = self.f.apply_state(state).or(self.next);
         }
     }
 
-    /// Takes in changes that another VM has read, if they follow on what is here.
-    fn take(&mut self, offer: ListChanges) {
+    /// Applies changes that another VM has read, if they continue from this VM's position.
+    fn apply_offer(&mut self, offer: ListChanges) {
         let Some(at) = self.next else {
             return;
         };
@@ -292,20 +297,20 @@
             return;
         }
         self.next = Some(offer.to);
-        self.f.note_position(offer.to);
+        self.f.set_position(offer.to);
         let changes = offer.changes.into_iter().map(Change::from);
         self.f
             .apply(ChangeSource::Neighbour, changes.collect(), false);
     }
 
-    /// Puts changes of the list that were read into the messages for the VMs of the zone.
-    fn pass_on(&self, from: Option<LogPosition>, read: &Changes) {
-        let Some(from) = from.filter(|_| !self.f.is_from_before_return(read.next)) else {
+    /// Queues changes of the list for the messages to the VMs of the zone.
+    fn send_on(&self, from: Option<LogPosition>, read: &Changes) {
+        let Some(from) = from.filter(|_| !self.f.is_from_before_restore(read.next)) else {
             return;
         };
         let parts = parts(from, read);
         let reads_for_others = self.f.site.view().peers.is_zone_reader(self.f.site.now());
-        // Of those that read because they heard nothing, each may have read the same.
+        // Several VMs that read because no changes reached them may have read the same ones.
         let most = if reads_for_others { MAX_PARTS } else { 1 };
         if parts.is_empty() || parts.len() > most {
             return;
@@ -317,7 +322,7 @@
     }
 }
 
-/// Reads the changes of the list from a position on, for so long.
+/// Reads the changes of the list after a position, with a time limit.
 async fn changes<S>(store: S, from: LogPosition, limit: Duration) -> Result<Changes, StoreError>
 where
     S: Store,
@@ -328,12 +333,13 @@
         .unwrap_or_else(|_| no_answer(limit))
 }
 
-/// Reads the changes while the store may be away: begins a call again and again beside those that have no answer yet. Gives what came
-/// first, and when that call began.
+/// Reads the changes while the store may be away, with a new call at each interval beside those that have
+/// no answer yet. Returns the first answer and when its call began.
 ///
-/// A call that began in an outage is never answered, one to a slow store is after long. With one call at a time the store's return
-/// is found late by as long as a call may take, and vanished entries are held back for as much longer.
-async fn seek<S>(
+/// A call that began in an outage is never answered, and one to a slow store is answered late. With one
+/// call at a time, the store's return would be found late by up to the time limit of a call, and vanished
+/// entries would be held back for as much longer.
+async fn probe_changes<S>(
     store: S,
     clock: Arc<Clock>,
     from: LogPosition,
@@ -347,7 +353,7 @@
     loop {
         let (store, began) = (store.clone(), clock.now());
         calls.spawn(async move { (began, changes(store, from, limit).await) });
-        let next = began + SEEK_EVERY;
+        let next = began + PROBE_EVERY;
         if let Ok(Some(Ok(first))) = clock.timeout_at(next, calls.join_next()).await {
             return first;
         }
@@ -364,20 +370,24 @@
 fn no_answer(limit: Duration) -> Result<Changes, StoreError> {
     NoAnswerSnafu {
         call: "changes",
-        why: format!("given up after {} ms", limit.as_millis()),
+        why: format!("no answer within {} ms", limit.as_millis()),
     }
     .fail()
 }
 
-/// Divides what was read from a position on into parts that can be passed on, in their order. Where positions can't be told for each
-/// record, it is one part.
+/// Splits what was read after a position into parts that can be sent on, in order. It is one part if there
+/// isn't exactly one position per record.
 fn parts(from: LogPosition, read: &Changes) -> Vec<ListChanges> {
     let records = from.records_to(read.next);
     if records == 0 {
         return Vec::new();
     }
     let is_one_each = usize::try_from(records).is_ok_and(|n| n == read.changes.len());
-    let size = if is_one_each { PART } else { usize::MAX };
+    let size = if is_one_each {
+        PART_RECORDS
+    } else {
+        usize::MAX
+    };
     let mut at = from;
     let chunks = read.changes.chunks(size.min(read.changes.len().max(1)));
     let mut out: Vec<ListChanges> = chunks
@@ -385,7 +395,7 @@
             let part = ListChanges {
                 from: at,
                 to: at.after(chunk.len()),
-                changes: newest(chunk.iter().filter_map(passed_on)),
+                changes: reduced(chunk.iter().filter_map(to_list_change)),
             };
             at = part.to;
             part
@@ -403,7 +413,7 @@
     out
 }
 
-fn passed_on(c: &Change) -> Option<ListChange> {
+fn to_list_change(c: &Change) -> Option<ListChange> {
     match c {
         Change::Endpoint(e) => Some(ListChange::Listed(e.clone())),
         Change::EndpointGone(id) => Some(ListChange::Gone(id.clone())),
@@ -412,9 +422,9 @@
     }
 }
 
-/// Leaves of each endpoint what its last state follows from: an entry stands alone, or after what took a former start
-/// of the endpoint out of use.
-fn newest<I>(changes: I) -> Vec<ListChange>
+/// Reduces the changes of each endpoint to those that determine its last state: an entry alone, or an entry
+/// after the change that took a former instance of the endpoint out of use.
+fn reduced<I>(changes: I) -> Vec<ListChange>
 where
     I: Iterator<Item = ListChange>,
 {
--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -195,7 +195,7 @@
     for feed in [Feed::Configuration, Feed::Endpoints] {
         let mut f = Follower::new(Arc::clone(site), states.clone(), feed);
         let vm = format_smolstr!("{giver}");
-        f.take_state(PeerState {
+        f.apply_state(PeerState {
             vm,
             state: state.clone(),
         });
