--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -210,7 +210,12 @@
     }
 
     /// Handles the result of a poll: an observation of the endpoint, or `None` if it didn't answer.
-    pub fn on_observation(&mut self, now: Instant, endpoint: &VmName, observation: Option<Observation>) {
+    pub fn on_observation(
+        &mut self,
+        now: Instant,
+        endpoint: &VmName,
+        observation: Option<Observation>,
+    ) {
         let w = self.watches.entry(endpoint.clone()).or_default();
         w.poll_in_flight = false;
         let is_changed = match (&w.observation, &observation) {
