--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -381,7 +381,7 @@
                 tracing::info!(id = %self.meta.id, "another instance has the endpoint's address");
             }
             (EndpointEvidence::NotHeld, Some(m)) => {
-                self.site.view().roster.remove_holding(to.key, m)
+                self.site.view().roster.remove_holding(to.key, m);
             }
             (EndpointEvidence::NotListening, _) => self.site.record_crash(&to.instance),
             (
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -65,7 +65,7 @@
                 tracing::debug!(?subject, keeper = ?coordinator, "it doesn't keep the pool");
             }
             None => {
-                tracing::debug!(?subject, keeper = ?coordinator, "the keeper of a pool is silent")
+                tracing::debug!(?subject, keeper = ?coordinator, "the keeper of a pool is silent");
             }
         }
     }
