--- a/crates/limehollow/src/admission.rs
+++ b/crates/limehollow/src/admission.rs
@@ -1,8 +1,8 @@
-//! Which request goes when, and which is refused.
+//! Admission control of one gateway.
 //!
-//! A request that can't be answered in time is refused at once, with the time to come back, from the
-//! first moment and also later while it waits. Waiting requests stand in bounded queues by priority,
-//! fair between callers (`docs/design/admission.md`).
+//! A request whose deadline can't be met is refused immediately, with the time after which to retry: on
+//! arrival, and again while it is queued. Queued requests wait in bounded queues, ordered by priority and
+//! served round-robin over callers within a priority (`docs/design/admission.md`).
 
 use crate::id::EndpointKey;
 use crate::id::ZoneName;
@@ -14,17 +14,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most requests that may wait for one model or service.
+/// The maximum number of requests queued for one model or service.
 pub const MAX_QUEUE: usize = 256;
-/// The most requests that may wait in a gateway.
+/// The maximum number of requests queued in one gateway.
 pub const MAX_WAITING: usize = 4096;
-/// The shortest time after which a refused caller is asked to come back.
+/// The shortest retry delay that a refused caller is given.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How many starts the pace of a queue is taken from.
+/// The number of recent starts from which a queue's drain rate is computed.
 const STARTS_SEEN: usize = 32;
 const MAX_RETRY_AFTER: Duration = Duration::from_mins(1);
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// A model or an adapter.
@@ -42,85 +42,86 @@
     }
 }
 
-/// A request that asks to be admitted.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// What it is for.
+    /// The model or service that the request targets.
     pub subject: Subject,
-    /// Who sent it.
+    /// The caller that sent the request.
     pub caller: SmolStr,
-    /// How much it matters.
+    /// The priority of the request.
     pub priority: Priority,
-    /// When the caller stops waiting.
+    /// The time after which the caller no longer waits for the answer.
     pub deadline: Instant,
-    /// The most tokens that it may generate.
+    /// The maximum number of tokens that the request may generate.
     pub tokens: u32,
     /// See [`RouteQuery::affinity`].
     pub affinity: u64,
-    /// Endpoints that already failed it.
+    /// The endpoints at which earlier attempts of this request failed.
     pub failed: Vec<EndpointKey>,
 }
 
-/// Names a waiting request.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
-/// Why a request is refused.
+/// The reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Nothing serves the subject now.
+    /// No endpoint serves the subject.
     NoTarget,
-    /// The estimated wait and service time pass its deadline.
+    /// The estimated completion time is after the deadline.
     TooLate,
-    /// The queue is full of requests that matter as much.
+    /// The queue is full and holds no request of a lower priority.
     QueueFull,
-    /// A more important request took its place in the queue.
+    /// A request of a higher priority replaced this one in a full queue.
     Shed,
 }
 
 /// A refusal; the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// After how long it is worth coming back.
+    /// The delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// The answer to an offer.
+/// The decision on an [`AdmissionRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// Send it to this endpoint now.
+    /// Send the request to this endpoint now.
     Start(EndpointKey),
-    /// It waits; [`Admission::poll`] says what becomes of it.
+    /// The request is queued; [`Admission::poll`] returns the later decision.
     Wait(Ticket),
-    /// Refuse it now.
+    /// Refuse the request now.
     Refuse(Refusal),
 }
 
-/// What became of a waiting request.
+/// The decision on a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// Send it to this endpoint now.
+    /// Send the request to this endpoint now.
     Start(EndpointKey),
-    /// Refuse it now.
+    /// Refuse the request now.
     Refuse(Refusal),
 }
 
 #[derive(Debug)]
 struct Waiting {
     ticket: Ticket,
-    offer: AdmissionRequest,
+    request: AdmissionRequest,
 }
 
-/// One caller's requests in a queue, the oldest first.
-type Line = (SmolStr, VecDeque<Waiting>);
+/// The queued requests of one caller, oldest first.
+type CallerQueue = (SmolStr, VecDeque<Waiting>);
 
-/// The requests that wait for one subject.
+/// The requests queued for one subject.
 #[derive(Debug, Default)]
 struct Queue {
-    /// Index 0 is the most important priority; within one, callers take turns.
-    lines: [VecDeque<Line>; 3],
+    /// The callers' queues by priority, index 0 being the highest; within a priority, callers are served
+    /// round-robin.
+    callers: [VecDeque<CallerQueue>; 3],
     len: usize,
 }
 
@@ -134,92 +135,97 @@
     }
 
     fn push(&mut self, w: Waiting) {
-        let lines = &mut self.lines[Self::level(w.offer.priority)];
+        let callers = &mut self.callers[Self::level(w.request.priority)];
         self.len += 1;
-        match lines.iter_mut().find(|(c, _)| *c == w.offer.caller) {
-            Some((_, line)) => line.push_back(w),
-            None => lines.push_back((w.offer.caller.clone(), VecDeque::from([w]))),
+        match callers.iter_mut().find(|(c, _)| *c == w.request.caller) {
+            Some((_, requests)) => requests.push_back(w),
+            None => callers.push_back((w.request.caller.clone(), VecDeque::from([w]))),
         }
     }
 
-    /// Gives the request whose turn it is.
+    /// Returns the next request to start.
     fn front(&self) -> Option<&Waiting> {
-        self.lines
+        self.callers
             .iter()
-            .find_map(|lines| lines.front())
-            .and_then(|(_, line)| line.front())
+            .find_map(|callers| callers.front())
+            .and_then(|(_, requests)| requests.front())
     }
 
-    /// Takes the request whose turn it is; its caller goes to the end of the round.
+    /// Removes the next request to start; its caller moves to the end of the round-robin order.
     fn pop(&mut self) -> Option<Waiting> {
-        let lines = self.lines.iter_mut().find(|l| !l.is_empty())?;
-        let (caller, mut line) = lines.pop_front()?;
-        let w = line.pop_front();
-        if !line.is_empty() {
-            lines.push_back((caller, line));
+        let callers = self.callers.iter_mut().find(|l| !l.is_empty())?;
+        let (caller, mut requests) = callers.pop_front()?;
+        let w = requests.pop_front();
+        if !requests.is_empty() {
+            callers.push_back((caller, requests));
         }
         self.len -= usize::from(w.is_some());
         w
     }
 
-    /// Takes the newest of the least important requests below a priority, from its busiest caller.
+    /// Removes the newest request of the caller with the most requests, from the lowest priority that is below
+    /// `p`.
     fn shed_below(&mut self, p: Priority) -> Option<Waiting> {
         let first = Self::level(p) + 1;
-        let lines = self.lines[first..]
+        let callers = self.callers[first..]
             .iter_mut()
             .rev()
             .find(|l| !l.is_empty())?;
-        let (i, _) = lines
+        let (i, _) = callers
             .iter()
             .enumerate()
-            .max_by_key(|(_, (_, line))| line.len())?;
-        let w = lines[i].1.pop_back();
-        if lines[i].1.is_empty() {
-            lines.remove(i);
+            .max_by_key(|(_, (_, requests))| requests.len())?;
+        let w = callers[i].1.pop_back();
+        if callers[i].1.is_empty() {
+            callers.remove(i);
         }
         self.len -= usize::from(w.is_some());
         w
     }
 
-    /// Takes out all requests for which the predicate holds.
-    fn take_if<F>(&mut self, mut f: F) -> Vec<Waiting>
+    /// Removes and returns all requests that match a predicate.
+    fn remove_matching<F>(&mut self, mut f: F) -> Vec<Waiting>
     where
         F: FnMut(&AdmissionRequest) -> bool,
     {
         let mut out = Vec::new();
-        for lines in &mut self.lines {
-            for (_, line) in lines.iter_mut() {
-                let (gone, stay) = line.drain(..).partition(|w: &Waiting| f(&w.offer));
+        for callers in &mut self.callers {
+            for (_, requests) in callers.iter_mut() {
+                let (gone, stay) = requests.drain(..).partition(|w: &Waiting| f(&w.request));
                 out.extend::<VecDeque<_>>(gone);
-                *line = stay;
+                *requests = stay;
             }
-            lines.retain(|(_, line)| !line.is_empty());
+            callers.retain(|(_, requests)| !requests.is_empty());
         }
         self.len -= out.len();
         out
     }
 
-    /// Counts the requests that come before a new one of this priority.
+    /// Returns the number of requests that start before a new one of this priority.
     fn ahead_of(&self, p: Priority) -> usize {
-        let levels = &self.lines[..=Self::level(p)];
-        levels.iter().flatten().map(|(_, line)| line.len()).sum()
+        let levels = &self.callers[..=Self::level(p)];
+        levels
+            .iter()
+            .flatten()
+            .map(|(_, requests)| requests.len())
+            .sum()
     }
 }
 
-/// The last requests that were started for one subject, from which follows how fast a queue drains.
+/// The start times of the latest requests for one subject, from which the drain rate of its queue is computed.
 #[derive(Debug, Default)]
-struct Starts(VecDeque<Instant>);
+struct StartTimes(VecDeque<Instant>);
 
-impl Starts {
-    fn note(&mut self, now: Instant) {
+impl StartTimes {
+    fn record(&mut self, now: Instant) {
         self.0.push_back(now);
         if self.0.len() > STARTS_SEEN {
             self.0.pop_front();
         }
     }
 
-    /// Gives the time that one place in the queue takes, once enough was seen.
-    fn pace(&self, now: Instant) -> Option<f64> {
+    /// Returns the mean time between starts in seconds, or `None` until [`STARTS_SEEN`] starts were recorded.
+    fn mean_interval(&self, now: Instant) -> Option<f64> {
         let first = self.0.front().filter(|_| self.0.len() == STARTS_SEEN)?;
         #[expect(clippy::cast_precision_loss, reason = "the number is small")]
         let n = STARTS_SEEN as f64;
@@ -227,20 +233,20 @@
     }
 }
 
-/// The admission of one gateway.
+/// The admission control of one gateway.
 #[derive(Debug)]
 pub struct Admission {
     zone: ZoneName,
     loads: Loads,
     times: BTreeMap<Subject, ServiceTime>,
     queues: BTreeMap<Subject, Queue>,
-    starts: BTreeMap<Subject, Starts>,
+    starts: BTreeMap<Subject, StartTimes>,
     waiting: usize,
     last_ticket: u64,
 }
 
 impl Admission {
-    /// Makes the admission of a gateway in this zone.
+    /// Creates the admission control of a gateway in `zone`.
     #[must_use]
     pub fn new(zone: ZoneName) -> Self {
         Self {
@@ -254,29 +260,29 @@
         }
     }
 
-    /// Gives the loads, for reading.
+    /// Returns the load of all endpoints.
     #[must_use]
     pub fn loads(&self) -> &Loads {
         &self.loads
     }
 
-    /// Gives how many requests wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Gives how many requests wait for each subject that has any.
+    /// Returns the number of queued requests for each subject that has any.
     pub fn waiting_by_subject(&self) -> impl Iterator<Item = (&Subject, usize)> {
         self.queues.iter().map(|(s, q)| (s, q.len))
     }
 
-    /// Takes in a report of an endpoint's load.
+    /// Applies an endpoint's load report.
     pub fn report(&mut self, taken: Instant, key: EndpointKey, report: LoadReport) {
         self.loads.report(taken, key, report);
     }
 
-    /// Forgets the endpoints that a predicate doesn't name.
+    /// Drops the load of every endpoint that doesn't match a predicate.
     pub fn retain_endpoints<F>(&mut self, f: F)
     where
         F: FnMut(EndpointKey) -> bool,
@@ -284,58 +290,66 @@
         self.loads.retain(f);
     }
 
-    /// Decides about a new request, or about one that is to be tried again.
+    /// Decides on a new request, or on a further attempt of an earlier one.
     pub fn admit(
         &mut self,
         now: Instant,
         table: &Table,
-        offer: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> AdmissionDecision {
-        let Some(route) = offer.subject.route(table).filter(|r| !r.targets.is_empty()) else {
+        let Some(route) = request
+            .subject
+            .route(table)
+            .filter(|r| !r.targets.is_empty())
+        else {
             return AdmissionDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         };
-        // Waiting can't help a request that every endpoint has failed already.
-        if route.targets.iter().all(|t| offer.failed.contains(&t.key)) {
+        // A request that failed at every endpoint can't be helped by queueing.
+        if route
+            .targets
+            .iter()
+            .all(|t| request.failed.contains(&t.key))
+        {
             return AdmissionDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER));
         }
-        let service = self.service_time(&offer);
-        let wait = self.wait_estimate(now, route, &offer);
+        let service = self.service_time(&request);
+        let wait = self.wait_estimate(now, route, &request);
         let idle = self.is_idle(route);
-        if !idle && now + wait + service > offer.deadline {
-            let late = (now + wait + service).duration_since(offer.deadline);
+        if !idle && now + wait + service > request.deadline {
+            let late = (now + wait + service).duration_since(request.deadline);
             return AdmissionDecision::Refuse(refuse(Reason::TooLate, late));
         }
-        let first_in_line = self
+        let is_first = self
             .queues
-            .get(&offer.subject)
-            .is_none_or(|q| q.ahead_of(offer.priority) == 0);
-        if first_in_line && let Some(key) = self.pick(now, route, &offer) {
+            .get(&request.subject)
+            .is_none_or(|q| q.ahead_of(request.priority) == 0);
+        if is_first && let Some(key) = self.pick(now, route, &request) {
             self.loads.start(key);
-            self.starts.entry(offer.subject).or_default().note(now);
+            self.starts.entry(request.subject).or_default().record(now);
             return AdmissionDecision::Start(key);
         }
-        if now + service > offer.deadline {
+        if now + service > request.deadline {
             return AdmissionDecision::Refuse(refuse(Reason::TooLate, wait));
         }
-        self.enqueue(offer, wait)
+        self.enqueue(request, wait)
     }
 
-    fn enqueue(&mut self, offer: AdmissionRequest, wait: Duration) -> AdmissionDecision {
+    fn enqueue(&mut self, request: AdmissionRequest, wait: Duration) -> AdmissionDecision {
         let full = self.waiting >= MAX_WAITING;
-        let q = self.queues.entry(offer.subject.clone()).or_default();
+        let q = self.queues.entry(request.subject.clone()).or_default();
         if full || q.len >= MAX_QUEUE {
             return AdmissionDecision::Refuse(refuse(Reason::QueueFull, wait));
         }
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        q.push(Waiting { ticket, offer });
+        q.push(Waiting { ticket, request });
         self.waiting += 1;
         AdmissionDecision::Wait(ticket)
     }
 
-    /// Makes room in a full queue for a more important request.
+    /// Removes a lower-priority request from a full queue to make room for one of `priority`.
     ///
-    /// Gives the request that lost its place, which is to be refused at once.
+    /// Returns the removed request, which has to be refused immediately.
     pub fn shed_for(&mut self, subject: &Subject, priority: Priority) -> Option<(Ticket, Refusal)> {
         let q = self.queues.get_mut(subject)?;
         if q.len < MAX_QUEUE && self.waiting < MAX_WAITING {
@@ -346,28 +360,28 @@
         Some((w.ticket, refuse(Reason::Shed, MIN_RETRY_AFTER)))
     }
 
-    /// Drops a waiting request whose caller left.
+    /// Removes a queued request whose caller disconnected.
     pub fn cancel(&mut self, ticket: Ticket) {
         for q in self.queues.values_mut() {
-            for lines in &mut q.lines {
-                for (_, line) in lines.iter_mut() {
-                    let before = line.len();
-                    line.retain(|w| w.ticket != ticket);
-                    self.waiting -= before - line.len();
-                    q.len -= before - line.len();
+            for callers in &mut q.callers {
+                for (_, requests) in callers.iter_mut() {
+                    let before = requests.len();
+                    requests.retain(|w| w.ticket != ticket);
+                    self.waiting -= before - requests.len();
+                    q.len -= before - requests.len();
                 }
-                lines.retain(|(_, line)| !line.is_empty());
+                callers.retain(|(_, requests)| !requests.is_empty());
             }
         }
         self.queues.retain(|_, q| q.len > 0);
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: AttemptOutcome) {
         self.loads.finish(now, key, ending);
     }
 
-    /// Learns from a whole answer how long answers take.
+    /// Records the timing of a complete answer, from which later service times are estimated.
     pub fn record_answer(
         &mut self,
         subject: &Subject,
@@ -381,32 +395,32 @@
             .observe(first, rest, tokens);
     }
 
-    /// Says which waiting requests start and which are given up on now.
+    /// Returns the queued requests that start now and those that are refused now.
     pub fn poll(&mut self, now: Instant, table: &Table) -> Vec<(Ticket, QueueDecision)> {
-        let mut turns = Vec::new();
+        let mut decisions = Vec::new();
         let subjects: Vec<Subject> = self.queues.keys().cloned().collect();
         for subject in &subjects {
-            self.give_up_late(now, subject, &mut turns);
-            self.start_waiting(now, table, subject, &mut turns);
+            self.refuse_late(now, subject, &mut decisions);
+            self.start_waiting(now, table, subject, &mut decisions);
         }
         self.queues.retain(|_, q| q.len > 0);
-        self.waiting -= turns.len();
-        turns
+        self.waiting -= decisions.len();
+        decisions
     }
 
-    /// Gives up on requests that could not make it even if they started now.
-    fn give_up_late(
+    /// Refuses queued requests that would miss their deadline even if they started now.
+    fn refuse_late(
         &mut self,
         now: Instant,
         subject: &Subject,
-        turns: &mut Vec<(Ticket, QueueDecision)>,
+        decisions: &mut Vec<(Ticket, QueueDecision)>,
     ) {
         let time = self.times.get(subject).copied().unwrap_or_default();
         let Some(q) = self.queues.get_mut(subject) else {
             return;
         };
-        let late = q.take_if(|o| now + time.estimate(o.tokens) >= o.deadline);
-        turns.extend(late.into_iter().map(|w| {
+        let late = q.remove_matching(|o| now + time.estimate(o.tokens) >= o.deadline);
+        decisions.extend(late.into_iter().map(|w| {
             (
                 w.ticket,
                 QueueDecision::Refuse(refuse(Reason::TooLate, MIN_RETRY_AFTER)),
@@ -419,25 +433,28 @@
         now: Instant,
         table: &Table,
         subject: &Subject,
-        turns: &mut Vec<(Ticket, QueueDecision)>,
+        decisions: &mut Vec<(Ticket, QueueDecision)>,
     ) {
         loop {
             let front = self.queues.get(subject).and_then(Queue::front);
-            let Some(Waiting { ticket, offer }) = front else {
+            let Some(Waiting { ticket, request }) = front else {
                 return;
             };
-            let route = offer.subject.route(table).filter(|r| !r.targets.is_empty());
-            let turn = match route {
+            let route = request
+                .subject
+                .route(table)
+                .filter(|r| !r.targets.is_empty());
+            let decision = match route {
                 None => QueueDecision::Refuse(refuse(Reason::NoTarget, MIN_RETRY_AFTER)),
-                Some(route) => match self.pick(now, route, offer) {
+                Some(route) => match self.pick(now, route, request) {
                     None => return,
                     Some(key) => QueueDecision::Start(key),
                 },
             };
-            turns.push((*ticket, turn));
-            if let QueueDecision::Start(key) = turn {
+            decisions.push((*ticket, decision));
+            if let QueueDecision::Start(key) = decision {
                 self.loads.start(key);
-                self.starts.entry(subject.clone()).or_default().note(now);
+                self.starts.entry(subject.clone()).or_default().record(now);
             }
             if let Some(q) = self.queues.get_mut(subject) {
                 q.pop();
@@ -445,23 +462,25 @@
         }
     }
 
-    fn pick(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Option<EndpointKey> {
+    fn pick(&self, now: Instant, route: &Route, request: &AdmissionRequest) -> Option<EndpointKey> {
         let query = RouteQuery {
             zone: &self.zone,
-            affinity: offer.affinity,
-            failed: &offer.failed,
+            affinity: request.affinity,
+            failed: &request.failed,
         };
         pick(now, route, &self.loads, &query).map(|t| t.key)
     }
 
-    fn service_time(&self, offer: &AdmissionRequest) -> Duration {
+    fn service_time(&self, request: &AdmissionRequest) -> Duration {
         self.times
-            .get(&offer.subject)
-            .map_or(Duration::ZERO, |t| t.estimate(offer.tokens))
+            .get(&request.subject)
+            .map_or(Duration::ZERO, |t| t.estimate(request.tokens))
     }
 
-    /// Tells whether this gateway has nothing at the route's endpoints. Then a request goes whatever
-    /// the estimates say, or a wrong estimate could never be unlearnt.
+    /// Returns `true` if this gateway has no outstanding request at any endpoint of the route.
+    ///
+    /// In that case a request is sent whatever the estimates are: otherwise no answer would ever correct a
+    /// wrong estimate.
     fn is_idle(&self, route: &Route) -> bool {
         route
             .targets
@@ -469,32 +488,37 @@
             .all(|t| self.loads.outstanding(t.key) == 0)
     }
 
-    /// Estimates the wait of a new request: those ahead of it, at the pace at which requests were
-    /// started lately; before there is a pace, over the slots of its endpoints, which is too short
-    /// where other gateways use them too.
-    fn wait_estimate(&self, now: Instant, route: &Route, offer: &AdmissionRequest) -> Duration {
-        if self.pick(now, route, offer).is_some() {
+    /// Estimates how long a new request would be queued.
+    ///
+    /// The estimate is the number of requests ahead of it times the mean time between recent starts. Until
+    /// enough starts were recorded, it assumes that this gateway has all slots of the endpoints to itself,
+    /// which is too short where other gateways use them too.
+    fn wait_estimate(&self, now: Instant, route: &Route, request: &AdmissionRequest) -> Duration {
+        if self.pick(now, route, request).is_some() {
             return Duration::ZERO;
         }
         let ahead = self
             .queues
-            .get(&offer.subject)
-            .map_or(0, |q| q.ahead_of(offer.priority));
+            .get(&request.subject)
+            .map_or(0, |q| q.ahead_of(request.priority));
         #[expect(
             clippy::cast_precision_loss,
             reason = "a queue is bounded by MAX_QUEUE"
         )]
         let places = ahead as f64 + 1.0;
-        let pace = self.starts.get(&offer.subject).and_then(|s| s.pace(now));
-        if let Some(pace) = pace {
-            return Duration::from_secs_f64(pace * places);
+        let interval = self
+            .starts
+            .get(&request.subject)
+            .and_then(|s| s.mean_interval(now));
+        if let Some(interval) = interval {
+            return Duration::from_secs_f64(interval * places);
         }
         let slots: f64 = route
             .targets
             .iter()
             .map(|t| self.loads.slots(now, t.key))
             .sum();
-        let service = self.service_time(offer).as_secs_f64();
+        let service = self.service_time(request).as_secs_f64();
         Duration::from_secs_f64(service * places / slots.max(1.0))
     }
 }
