--- a/crates/limehollow/src/routing.rs
+++ b/crates/limehollow/src/routing.rs
@@ -1,7 +1,7 @@
-//! Where a request may go, and where it goes.
+//! Routes requests to endpoints.
 //!
-//! A [`Table`] is made anew whenever the fleet's state changes; traffic threads read it without a
-//! lock. [`pick`] joins it with the [`Loads`] (`docs/design/routing.md`).
+//! A [`Table`] is built whenever the fleet's state changes; traffic threads read it without a lock. [`pick`]
+//! combines it with the current [`Loads`] (`docs/design/routing.md`).
 
 use crate::fleet::{Fleet, Presence};
 use crate::id::{EndpointKey, Incarnation, ModelName, ServiceName, VmName, ZoneName};
@@ -13,56 +13,57 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tokio::time::Instant;
 
-/// How far above the mean an endpoint's load may be before affinity gives way, as a factor.
+/// The factor above the mean load up to which an endpoint is chosen by affinity.
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// An endpoint that requests may go to.
+/// An endpoint that can be routed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its key in this gateway's arena.
+    /// The endpoint's key in this gateway's arena.
     pub key: EndpointKey,
-    /// Its name.
+    /// The endpoint's name.
     pub name: VmName,
-    /// Its availability zone.
+    /// The endpoint's availability zone.
     pub zone: ZoneName,
-    /// Where it listens, as `IP:PORT`.
+    /// The address that the endpoint listens on, as `IP:PORT`.
     pub address: SmolStr,
-    /// The version of the model that it serves; empty for a plain service.
+    /// The version of the model that the endpoint serves; empty for a plain service.
     pub version: SmolStr,
 }
 
-/// Where the requests for one model or service may go.
+/// The endpoints for one model or service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Route {
-    /// How much the model matters when the request doesn't say.
+    /// The priority of requests that don't set one.
     pub priority: Priority,
-    /// The endpoints.
+    /// The endpoints that requests can be routed to.
     pub targets: Vec<Target>,
 }
 
-/// All routes at one offset.
+/// All routes as of one log offset.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The offset in force when it was made.
+    /// The log offset from which the table was built.
     pub offset: u64,
     models: HashMap<ModelName, Route>,
     services: HashMap<ServiceName, Route>,
 }
 
 impl Table {
-    /// Gives the route of a model; one without targets if it is in force but not ready anywhere.
+    /// Returns the route of a model. The route has no targets if the model is in force but not ready on any
+    /// endpoint.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&Route> {
         self.models.get(name)
     }
 
-    /// Gives the route of a plain service.
+    /// Returns the route of a plain service.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Route> {
         self.services.get(name)
     }
 
-    /// Gives the names of all models that are in force, in order.
+    /// Returns the names of all models that are in force, sorted.
     #[must_use]
     pub fn model_names(&self) -> Vec<&ModelName> {
         let mut names: Vec<_> = self.models.keys().collect();
@@ -71,7 +72,8 @@
     }
 }
 
-/// Makes tables, and gives each incarnation of an endpoint one key for as long as it lives.
+/// Builds routing tables, and assigns each incarnation of an endpoint a key that stays the same for its
+/// lifetime.
 #[derive(Debug, Default)]
 pub struct TableBuilder {
     arena: SlotMap<EndpointKey, VmName>,
@@ -79,13 +81,13 @@
 }
 
 impl TableBuilder {
-    /// Makes the table of a fleet's state.
+    /// Builds the table from the fleet's state.
     ///
-    /// `leaving` names endpoints that are known to leave before the log says so; they get no new
-    /// work.
+    /// `leaving` names endpoints that are known to be leaving before the log records it; they receive no new
+    /// requests.
     pub fn build(&mut self, fleet: &Fleet, leaving: &BTreeSet<VmName>) -> Table {
         self.update_keys(fleet);
-        let takes_work = |name: &VmName| !leaving.contains(name);
+        let accepts_work = |name: &VmName| !leaving.contains(name);
         let offset = fleet.next_offset().0;
         let mut table = Table {
             offset,
@@ -99,7 +101,7 @@
             };
             table.models.insert(m.name.clone(), route);
         }
-        for (name, _, model) in fleet.routable().filter(|(n, ..)| takes_work(n)) {
+        for (name, _, model) in fleet.routable().filter(|(n, ..)| accepts_work(n)) {
             let Some(route) = table.models.get_mut(&model.name) else {
                 continue;
             };
@@ -113,7 +115,7 @@
         for m in intent.iter().flat_map(|i| &i.models) {
             prefer_version(table.models.get_mut(&m.name), &m.version);
         }
-        for (name, e) in fleet.endpoints().filter(|(n, _)| takes_work(n)) {
+        for (name, e) in fleet.endpoints().filter(|(n, _)| accepts_work(n)) {
             let EndpointKind::Service { name: service } = &e.kind else {
                 continue;
             };
@@ -127,13 +129,13 @@
         table
     }
 
-    /// Gives the key of an endpoint that has one.
+    /// Returns the key of an endpoint.
     #[must_use]
     pub fn key(&self, name: &str) -> Option<EndpointKey> {
         self.keys.get(name).map(|(_, k)| *k)
     }
 
-    /// Tells whether a key still names a known endpoint.
+    /// Returns `true` if a key belongs to a known endpoint.
     #[must_use]
     pub fn contains(&self, key: EndpointKey) -> bool {
         self.arena.contains_key(key)
@@ -171,7 +173,7 @@
     }
 }
 
-/// Drops the targets with an older version once the confirmed one is ready somewhere.
+/// Removes the targets with another version if any target has the confirmed one.
 fn prefer_version(route: Option<&mut Route>, version: &SmolStr) {
     let Some(route) = route else { return };
     if route.targets.iter().any(|t| t.version == *version) {
@@ -179,21 +181,21 @@
     }
 }
 
-/// What a request asks of routing.
+/// The inputs of a routing decision.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// The gateway's own zone.
+    /// The gateway's own zone, which is preferred.
     pub zone: &'a ZoneName,
-    /// The hash of what a cache could share between requests: the model and the prompt's beginning.
+    /// The hash of what requests could share in an endpoint's cache: the model and the beginning of the prompt.
     pub affinity: u64,
-    /// Endpoints that already failed this request.
+    /// The endpoints at which earlier attempts of this request failed.
     pub failed: &'a [EndpointKey],
 }
 
-/// Picks an endpoint that has room, or none if all that may be asked are full.
+/// Picks an endpoint with free capacity, or returns `None` if all eligible endpoints are full.
 ///
-/// Ejected endpoints are passed over, unless all are ejected. The own zone comes first; others are
-/// asked when it is full.
+/// Ejected endpoints are skipped unless all are ejected. Endpoints of other zones are used only if those of the
+/// own zone are full.
 #[must_use]
 pub fn pick<'t>(
     now: Instant,
@@ -203,18 +205,19 @@
 ) -> Option<&'t Target> {
     let fresh = |t: &&Target| !query.failed.contains(&t.key);
     let usable: Vec<&Target> = route.targets.iter().filter(fresh).collect();
-    let sound: Vec<&Target> = usable
+    let healthy: Vec<&Target> = usable
         .iter()
         .copied()
         .filter(|t| !loads.is_ejected(now, t.key))
         .collect();
-    let from = if sound.is_empty() { usable } else { sound };
-    let (near, far): (Vec<&Target>, Vec<&Target>) =
+    let from = if healthy.is_empty() { usable } else { healthy };
+    let (local, remote): (Vec<&Target>, Vec<&Target>) =
         from.iter().partition(|t| t.zone == *query.zone);
-    pick_among(now, &near, loads, query).or_else(|| pick_among(now, &far, loads, query))
+    pick_among(now, &local, loads, query).or_else(|| pick_among(now, &remote, loads, query))
 }
 
-/// Takes the first in the order of affinity whose load isn't far above the mean.
+/// Picks the first target in affinity order whose load is within [`LOAD_BOUND`] of the mean, or the least
+/// loaded one.
 fn pick_among<'t>(
     now: Instant,
     targets: &[&'t Target],
@@ -239,7 +242,7 @@
     within.or_else(least).map(|(_, _, t)| *t)
 }
 
-/// Gives the rendezvous weight of a target for what the request shares with others.
+/// Returns the rendezvous-hashing weight of a target.
 fn weight(affinity: u64, t: &Target) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(t.name.as_str().as_bytes(), affinity)
 }
