--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -1,8 +1,8 @@
-//! Which models need another replica for their demand, and when that is worth a move.
+//! Decides which models need another replica because of unmet demand.
 //!
-//! Gateways say how many requests they had to refuse. Only what lasts counts, so that a burst causes
-//! no move; and it has to be worth the move by the weights that operators gave
-//! (`docs/design/demand.md`).
+//! Gateways report how many requests they refused. Only demand that stays unmet for some time counts, so a
+//! burst causes no move, and the gain has to exceed the cost of the moves by the weights that the operators
+//! configured (`docs/design/demand.md`).
 
 use crate::id::{ModelName, VmName};
 use crate::intent::Intent;
@@ -12,52 +12,57 @@
 
 /// How long demand has to be unmet before a replica is added, and again before the next one.
 pub const UP_AFTER: Duration = Duration::from_secs(20);
-/// How long a word of a gateway counts.
+/// How long a gateway's report is counted.
 pub const DEMAND_REPORT_LIFETIME: Duration = Duration::from_secs(10);
-/// For how long a new replica is expected to be of use, in seconds.
+/// The time for which a new replica is expected to be useful, in seconds.
 const HORIZON: f64 = 600.0;
-/// What a move is worth in requests, at equal weights.
+/// The cost of a move in requests, at equal weights.
 const MOVE_PRICE: f64 = 100.0;
-/// A replica that is added will have to go some day.
+/// The number of moves that an added replica costs: it has to be removed again later.
 const MOVES: f64 = 2.0;
 
-/// What one gateway refused of one model.
+/// One gateway's report of the requests for one model that it refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Word {
+struct DemandReport {
     per_second: f64,
-    heard: Instant,
+    received: Instant,
 }
 
 /// The unmet demand of a zone.
 #[derive(Debug, Default)]
 pub struct Demand {
-    words: BTreeMap<ModelName, BTreeMap<VmName, Word>>,
-    /// Since when each model's demand has been unmet, or a replica was last added; and when that was
-    /// last looked at. After a gap nobody knows what was in between.
+    reports: BTreeMap<ModelName, BTreeMap<VmName, DemandReport>>,
+    /// The time since which each model's demand has been unmet, or a replica was last added, and the time of
+    /// the last check. After a longer gap between checks the first time restarts, as the demand in between is
+    /// unknown.
     unmet_since: BTreeMap<ModelName, (Instant, Instant)>,
 }
 
 impl Demand {
-    /// Takes in how many requests a second a gateway had to refuse.
+    /// Applies a gateway's report of how many requests per second it refused.
     pub fn report(&mut self, now: Instant, from: VmName, model: ModelName, per_second: f64) {
-        let word = Word {
+        let report = DemandReport {
             per_second: per_second.max(0.0),
-            heard: now,
+            received: now,
         };
-        self.words.entry(model).or_default().insert(from, word);
+        self.reports.entry(model).or_default().insert(from, report);
     }
 
-    /// Gives what is unmet of a model, in requests a second.
+    /// Returns the unmet demand for a model, in requests per second.
     #[must_use]
     pub fn unmet(&self, now: Instant, model: &str) -> f64 {
-        let words = self.words.get(model).into_iter().flat_map(BTreeMap::values);
-        let fresh = words.filter(|w| now.duration_since(w.heard) < DEMAND_REPORT_LIFETIME);
+        let reports = self
+            .reports
+            .get(model)
+            .into_iter()
+            .flat_map(BTreeMap::values);
+        let fresh = reports.filter(|w| now.duration_since(w.received) < DEMAND_REPORT_LIFETIME);
         fresh.map(|w| w.per_second).sum()
     }
 
-    /// Gives the models for which another replica is worth its moves, the most worthwhile first.
+    /// Returns the models for which another replica is worth its moves, ordered by priority and then by gain.
     pub fn models_to_scale_up(&mut self, now: Instant, intent: &Intent) -> Vec<ModelName> {
-        self.forget(now);
+        self.drop_expired(now);
         let mut out = Vec::new();
         for m in &intent.models {
             let unmet = self.unmet(now, m.name.as_str());
@@ -80,20 +85,20 @@
         out.into_iter().map(|(_, _, name)| name).collect()
     }
 
-    /// Notes that a replica is on its way: the demand is given time to show whether it is enough.
+    /// Records that a replica is being added, which restarts the wait before the next one.
     pub fn record_scale_up(&mut self, now: Instant, model: &ModelName) {
         self.unmet_since.insert(model.clone(), (now, now));
     }
 
-    fn forget(&mut self, now: Instant) {
-        for words in self.words.values_mut() {
-            words.retain(|_, w| now.duration_since(w.heard) < DEMAND_REPORT_LIFETIME);
+    fn drop_expired(&mut self, now: Instant) {
+        for reports in self.reports.values_mut() {
+            reports.retain(|_, w| now.duration_since(w.received) < DEMAND_REPORT_LIFETIME);
         }
-        self.words.retain(|_, w| !w.is_empty());
+        self.reports.retain(|_, w| !w.is_empty());
     }
 }
 
-/// Weighs what another replica would attain against the moves that it costs.
+/// Returns the gain of another replica less the cost of its moves.
 fn gain(intent: &Intent, unmet: f64) -> f64 {
     let attained = f64::from(intent.weights.attainment) * unmet * HORIZON;
     let moved = f64::from(intent.weights.moves) * MOVES * MOVE_PRICE;
