--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -1,13 +1,13 @@
-//! Which endpoint a request goes to, by the time until its first result.
+//! Chooses the endpoint for a request by the expected time to its first result.
 //!
-//! For each endpoint a gateway keeps what it has there itself and what the other gateways said they
-//! have. From that follows when a new request would see its first result: the prompts that stand before
-//! it, at the pace that was measured, and the places that are taken. The endpoint that is soonest gets
-//! the request; another zone, failures and recent refusals count as time (`docs/design/system.md`).
+//! For each endpoint a gateway keeps its own requests there and those that the other gateways reported. From
+//! both it estimates when a new request would receive its first result: after the prompts queued before it are
+//! processed, at the measured rate, and after a slot is free. The endpoint with the shortest time is chosen;
+//! another zone, failures and recent refusals are added as time (`docs/design/system.md`).
 
 use crate::assignments::Assignments;
 use crate::backpressure::Backpressure;
-use crate::health::{Health, ZoneWays};
+use crate::health::{Health, ZoneReachability};
 use crate::id::{EndpointKey, ServiceName, VmName, ZoneName};
 use crate::job::{Job, RANKS};
 use crate::load::AttemptOutcome;
@@ -21,51 +21,52 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time to a first result of an endpoint at rest, in ms: the network there and back and one step.
+/// The time to a first result from an idle endpoint, in ms: a network round trip and one step.
 const BASE_MS: f64 = 25.0;
-/// How long a request is held on average, in ms, as long as nothing was measured.
+/// The mean time for which a request occupies a slot, in ms, until it was measured.
 const DEFAULT_HELD_MS: f64 = 500.0;
-/// What another zone costs, in ms. Its bytes are priced at some hundredths of a request's worth, which
-/// is what that much delay costs near the objective.
+/// The cost of using another zone, in ms. The price of the transferred bytes is some hundredths of the value of
+/// a request, which equals the cost of that much delay near the objective.
 const ZONE_MS: f64 = 40.0;
-/// What a full batch costs, in ms: tokens come slower and pauses get longer.
-const CROWD_MS: f64 = 60.0;
-/// The part of the bound on prompts that one prompt counts for at most. Without it 0.29 of the longest tenth of a kind
-/// were served on a day on which 0.64 of all of that kind were.
-const LONGEST_OWN_PART: f64 = 0.5;
-/// What an endpoint that fails all it is sent costs, in ms: more than any objective.
+/// The cost of a full batch, in ms: tokens are generated more slowly and the pauses between them get longer.
+const FULL_BATCH_MS: f64 = 60.0;
+/// The largest part of the bound on prompt processing that one prompt is counted for. Without this limit, 0.29
+/// of the longest tenth of a kind of requests were served on a day on which 0.64 of all requests of that kind
+/// were.
+const MAX_OWN_SHARE: f64 = 0.5;
+/// The cost of an endpoint that fails all requests, in ms: more than any objective.
 const ERROR_MS: f64 = 3000.0;
-/// How much longer a first result is expected to take at an endpoint that just refused, in ms: it has
-/// no place left, whatever is known of it. It fades with this time constant.
+/// The time added to the expected first result at an endpoint that has just refused a request, in ms: it has no
+/// free slot, whatever its load appears to be. It decays with the time constant [`REFUSED_MEMORY_S`].
 const REFUSED_MS: f64 = 2500.0;
 const REFUSED_MEMORY_S: f64 = 0.5;
-/// The weight of a new sample in the time for which requests are held, which differs much between requests.
+/// The weight of a new sample in the time for which requests occupy a slot. The samples vary widely.
 const HELD_SMOOTHING: f64 = 0.05;
-/// The weight of a new sample in the smoothed figures.
+/// The weight of a new sample in the other smoothed values.
 const SMOOTHING: f64 = 0.2;
-/// The time constant with which a measured slowness is forgotten while nothing is sent there.
+/// The time constant with which a measured slowdown decays while nothing is sent to the endpoint.
 const SLOW_MEMORY_S: f64 = 4.0;
 const MAX_SLOWNESS: f64 = 20.0;
-/// For how long the VMs of the zone are told that an endpoint can't be reached: some messages.
-const UNREACHED_SAID_FOR: Duration = Duration::from_millis(400);
-/// For how long what another gateway said counts.
+/// How long an unreachable endpoint is reported to the other VMs of the zone: long enough for several messages.
+const UNREACHABLE_REPORT_TIME: Duration = Duration::from_millis(400);
+/// How long a message from another gateway is counted.
 pub const MESSAGE_LIFE: Duration = Duration::from_millis(1500);
-/// Prompt beginnings that are remembered for an endpoint; the older half is dropped beyond.
+/// The maximum number of prompt prefixes remembered for an endpoint; beyond it the older half is dropped.
 const MAX_REMEMBERED: usize = 2048;
 
-/// What a gateway has at one endpoint.
+/// The load that one or more gateways have placed on an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Taken {
-    /// Requests.
+    /// The number of requests.
     pub requests: f32,
-    /// Tokens that they hold.
+    /// The number of tokens that the requests hold in memory.
     pub tokens: f32,
-    /// Work until all of them have their first result, in ms, by rank.
+    /// The work until all requests have their first result, in ms, by rank.
     pub ahead_ms: [f32; RANKS],
 }
 
 impl Taken {
-    /// Adds what another has.
+    /// Adds another gateway's load.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.tokens += other.tokens;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Takes off what another has no more.
+    /// Subtracts load that another gateway no longer has.
     fn subtract(&mut self, other: &Self) {
         self.requests = (self.requests - other.requests).max(0.0);
         self.tokens = (self.tokens - other.tokens).max(0.0);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Gives the work that goes before a request of a rank.
+    /// Returns the work that is done before a request of the given rank, in ms.
     fn ahead(&self, level: usize) -> f64 {
         self.ahead_ms[..=level].iter().map(|a| f64::from(*a)).sum()
     }
@@ -93,11 +94,11 @@
 struct Row {
     own: Taken,
     others: Taken,
-    /// How much longer first results take than expected, and when that was last measured.
+    /// The factor by which first results take longer than expected, and when it was last measured.
     slowness: (f64, Instant),
     health: Health,
     refused_at: Option<Instant>,
-    /// What this gateway promised there to others.
+    /// The requests that this gateway assigned to the endpoint for other gateways.
     assigned: Assignments,
     remembered: HashMap<u64, Instant>,
 }
@@ -115,14 +116,14 @@
         }
     }
 
-    /// Gives what all gateways have there: as they said, or what was promised, where that is more. What was promised shows in
-    /// what they say later on, so the two don't add up.
+    /// Returns the load of all gateways: the larger of what they reported and what was assigned. Assigned
+    /// requests show in later reports, so the two aren't added.
     fn taken(&self, now: Instant) -> Taken {
         let mut taken = self.own;
         taken.add(&self.others);
         taken.requests = taken.requests.max(self.assigned.requests(now));
-        let said: f32 = taken.ahead_ms.iter().sum();
-        taken.ahead_ms[0] += (self.assigned.ahead_ms(now) - said).max(0.0);
+        let reported: f32 = taken.ahead_ms.iter().sum();
+        taken.ahead_ms[0] += (self.assigned.ahead_ms(now) - reported).max(0.0);
         taken
     }
 
@@ -139,14 +140,14 @@
         self.refused_at.map_or(0.0, |t| REFUSED_MS * fade(t))
     }
 
-    /// Gives the tokens of a prompt that have to be read at this endpoint.
+    /// Returns the number of prompt tokens that aren't in the endpoint's prefix cache.
     fn unread(&self, job: &Job) -> u32 {
         let known = job
             .beginnings
             .iter()
             .take_while(|(h, _)| self.remembered.contains_key(h));
-        let read: u32 = known.map(|(_, tokens)| tokens).sum();
-        job.prompt_tokens.saturating_sub(read)
+        let cached: u32 = known.map(|(_, tokens)| tokens).sum();
+        job.prompt_tokens.saturating_sub(cached)
     }
 
     fn remember(&mut self, now: Instant, job: &Job) {
@@ -162,7 +163,7 @@
     }
 }
 
-/// A request that was sent to an endpoint; give it back to [`Balance::finish`].
+/// A request that was sent to an endpoint, to be passed to [`Balance::finish`].
 #[derive(Debug)]
 pub struct Sent {
     key: EndpointKey,
@@ -175,7 +176,7 @@
     expected_ms: f64,
     first: Option<Duration>,
     job_model: Option<SmolStr>,
-    /// Whether it shows if the endpoint's rest is over.
+    /// Whether the request tests if the endpoint's backoff has ended.
     trial: bool,
     max_output: u32,
     service: ServiceName,
@@ -183,56 +184,60 @@
 }
 
 impl Sent {
-    /// Gives the endpoint.
+    /// Returns the endpoint's key.
     #[must_use]
     pub fn endpoint(&self) -> EndpointKey {
         self.key
     }
 
-    /// Gives the time to the first result, if it has come.
+    /// Returns the time to the first result, if it has been received.
     #[must_use]
     pub fn first(&self) -> Option<Duration> {
         self.first
     }
 }
 
-/// What a choice found.
+/// The result of choosing an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
-    /// Send it there; the first result is expected after so many ms.
+    /// Send the request to this endpoint; the first result is expected after this many ms.
     To(EndpointKey, f64),
-    /// All that hold what it needs have so many prompts to read that their streams would pause; the first
-    /// result would be expected after so many ms.
+    /// Every endpoint that holds the model has so many prompts to process that its streams would pause; the
+    /// first result would be expected after this many ms.
     Overloaded(f64),
-    /// All that hold what it needs want nothing of this VM now; the first of them does after so long.
+    /// Every endpoint that holds the model has asked this VM to back off; the first backoff ends after this
+    /// time.
     BackingOff(Duration),
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     NoEndpoint,
-    /// No endpoint that takes work holds the model.
+    /// No endpoint that accepts requests holds the model.
     NoModel,
-    /// Some hold the model, none of them the adapter.
+    /// Some endpoints hold the model, but none of them holds the adapter.
     NoAdapter,
 }
 
-/// What endpoints of a service can bear.
+/// The capacity limits of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Tokens that an endpoint's memory holds, where that is known.
+    /// The number of tokens that fit in an endpoint's memory, if known.
     pub kv_tokens: Option<u32>,
-    /// How long an endpoint may read prompts while its streams wait, in ms.
+    /// How long an endpoint may process prompts while its streams wait, in ms.
     pub reading_ms: f64,
 }
 
-/// An endpoint that a request could go to.
+/// An endpoint that a request could be sent to.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     is_ejected: bool,
     is_overloaded: bool,
-    /// Whether it names a limit: it is left alone while others have room.
+    /// Whether the endpoint has stated a rate limit; it is used only if no other endpoint has capacity.
     is_limited: bool,
-    /// Requests that end with the endpoint, where that matters. A request that crashed endpoints took 6.5 streams along in
-    /// three crashes where it took 10.1, with endpoints in two zones; where all are as busy, as many (`tests/isolation.rs`).
-    beside: f32,
+    /// The number of requests that fail if the endpoint crashes, for isolated requests.
+    ///
+    /// With this rule a request that crashes endpoints took 6.5 streams along in three crashes instead of 10.1,
+    /// with endpoints in two zones; where all endpoints are equally busy it makes no difference
+    /// (`tests/isolation.rs`).
+    affected_requests: f32,
     cost: f64,
     key: EndpointKey,
     expected_ms: f64,
@@ -245,7 +250,7 @@
                 c.is_ejected,
                 c.is_overloaded,
                 c.is_limited,
-                c.beside,
+                c.affected_requests,
                 c.cost,
             )
         };
@@ -253,38 +258,38 @@
     }
 }
 
-/// What one gateway knows of the load of all endpoints.
+/// One gateway's view of the load of all endpoints.
 #[derive(Debug)]
 pub struct Balance {
     zone: ZoneName,
     rows: SecondaryMap<EndpointKey, Row>,
-    ways: ZoneWays,
+    reachability: ZoneReachability,
     messages: BTreeMap<VmName, (Instant, Vec<(EndpointKey, Taken)>)>,
-    /// How fast the models are served.
-    paces: BTreeMap<SmolStr, Pace>,
-    /// Time that a request is held, in ms, by service.
+    /// The measured processing times by model.
+    service_times: BTreeMap<SmolStr, Pace>,
+    /// The mean time for which a request occupies a slot, in ms, by service.
     held_ms: BTreeMap<ServiceName, f64>,
-    /// What endpoints said that they want to be sent.
+    /// The rate limits and backoffs that endpoints requested.
     pub backpressure: Backpressure,
 }
 
 /// Queries.
 impl Balance {
-    /// Makes the balance of a gateway in this zone.
+    /// Creates the balance of a gateway in `zone`.
     #[must_use]
     pub fn new(zone: ZoneName) -> Self {
         Self {
             zone,
             rows: SecondaryMap::new(),
-            ways: ZoneWays::default(),
+            reachability: ZoneReachability::default(),
             messages: BTreeMap::new(),
-            paces: BTreeMap::new(),
+            service_times: BTreeMap::new(),
             held_ms: BTreeMap::new(),
             backpressure: Backpressure::default(),
         }
     }
 
-    /// Chooses the endpoint for a job, other than those that were tried already.
+    /// Chooses an endpoint for a job, excluding those in `tried`.
     #[must_use]
     pub fn choose(
         &self,
@@ -322,7 +327,7 @@
                 is_overloaded: self.reading_ms(now, key, job, bounds.reading_ms)
                     > bounds.reading_ms,
                 is_limited: self.backpressure.rate(key).is_some(),
-                beside: if job.isolated {
+                affected_requests: if job.isolated {
                     self.requests(key)
                 } else {
                     0.0
@@ -342,8 +347,9 @@
         }
     }
 
-    /// Estimates how long an endpoint would read prompts if it got this one as well, in ms; zero if it has
-    /// none other, since then no smaller amount can be had.
+    /// Estimates how long an endpoint would process prompts if this one were added, in ms.
+    ///
+    /// Returns zero if it has no other prompt, as no endpoint could have less.
     fn reading_ms(&self, now: Instant, key: EndpointKey, job: &Job, bound_ms: f64) -> f64 {
         let Some(row) = self.rows.get(key) else {
             return 0.0;
@@ -352,9 +358,9 @@
         if ahead <= 0.0 {
             return 0.0;
         }
-        // A long prompt counts for a part of the bound at most: it is read in pieces like those of others, and would
-        // otherwise find no endpoint but one at rest.
-        let own_ms = self.work_ms(key, job).min(bound_ms * LONGEST_OWN_PART);
+        // A long prompt is counted for at most a part of the bound: it is processed in chunks like others, and
+        // would otherwise fit only on an idle endpoint.
+        let own_ms = self.work_ms(key, job).min(bound_ms * MAX_OWN_SHARE);
         row.slowness(now) * (ahead + own_ms)
     }
 
@@ -372,11 +378,11 @@
             return BASE_MS + own_ms;
         };
         let taken = row.taken(now);
-        let read = row.slowness(now) * (BASE_MS + own_ms + taken.ahead(job.level()));
-        read + row.refused_ms(now) + self.wait_ms(e, &taken, kv_tokens, job)
+        let processing = row.slowness(now) * (BASE_MS + own_ms + taken.ahead(job.level()));
+        processing + row.refused_ms(now) + self.wait_ms(e, &taken, kv_tokens, job)
     }
 
-    /// Estimates how long a job waits for a place at an endpoint whose places are taken, in ms.
+    /// Estimates how long a job waits for a slot at an endpoint whose slots are in use, in ms.
     fn wait_ms(&self, e: &Endpoint, taken: &Taken, kv_tokens: Option<u32>, job: &Job) -> f64 {
         let slots = f64::from(e.slots.max(1));
         let places = (f64::from(taken.requests) + 1.0) / slots;
@@ -388,23 +394,24 @@
         over * held.copied().unwrap_or(DEFAULT_HELD_MS)
     }
 
-    /// Gives what counts against an endpoint beside the time to the first result, as ms.
+    /// Returns the costs of an endpoint beside the time to the first result, in ms.
     fn extra_ms(&self, now: Instant, key: EndpointKey, e: &Endpoint) -> f64 {
         let zone = if e.zone == self.zone { 0.0 } else { ZONE_MS };
         let Some(row) = self.rows.get(key) else {
             return zone;
         };
         let requests = f64::from(row.taken(now).requests);
-        zone + row.health.errors(now) * ERROR_MS + requests / f64::from(e.slots.max(1)) * CROWD_MS
+        zone + row.health.errors(now) * ERROR_MS
+            + requests / f64::from(e.slots.max(1)) * FULL_BATCH_MS
     }
 
-    /// Counts the requests that an endpoint has, of all gateways.
+    /// Returns the number of requests of all gateways at an endpoint.
     fn requests(&self, key: EndpointKey) -> f32 {
         let row = self.rows.get(key);
         row.map_or(0.0, |r| r.own.requests + r.others.requests)
     }
 
-    /// Gives the work that a job is for an endpoint until its first result, in ms.
+    /// Returns the work of a job at an endpoint until its first result, in ms.
     fn work_ms(&self, key: EndpointKey, job: &Job) -> f64 {
         let unread = self
             .rows
@@ -414,58 +421,67 @@
     }
 
     fn token_ms(&self, job: &Job) -> f64 {
-        let pace = job.model.as_ref().and_then(|m| self.paces.get(&m.model));
+        let pace = job
+            .model
+            .as_ref()
+            .and_then(|m| self.service_times.get(&m.model));
         pace.copied().unwrap_or_default().token_ms()
     }
 
-    /// Gives how much of an endpoint a job takes, in ms of the whole endpoint: the unit in which demand is told.
+    /// Returns the share of an endpoint that a job uses, in ms of the whole endpoint. Demand is reported in
+    /// this unit.
     ///
-    /// It is the larger of the time for which its prompt is read and of its part of the time for which it holds one
-    /// of the endpoint's places. Streams hold places long after their prompts are read: with prompts alone a model
-    /// stayed on endpoints at which 50 to 70 requests stood for 48 places.
+    /// It is the larger of the time for which the prompt is processed and of the job's part of the time for
+    /// which it occupies one of the endpoint's slots. Streams occupy slots long after their prompts are
+    /// processed: with prompts alone, a model stayed on endpoints that had 50 to 70 requests for 48 slots.
     #[must_use]
     pub fn demand_ms(&self, job: &Job, places: u32) -> f64 {
         let prompt = f64::from(job.prompt_tokens) * self.token_ms(job);
-        let pace = job.model.as_ref().and_then(|m| self.paces.get(&m.model));
+        let pace = job
+            .model
+            .as_ref()
+            .and_then(|m| self.service_times.get(&m.model));
         let held = pace.map_or(0.0, |p| p.held_ms(job.max_output));
         prompt.max(held / f64::from(places.max(1)))
     }
 
-    /// Gives what a token of a prompt was measured to take, in microseconds, by model: for a log line.
+    /// Returns the measured processing time per prompt token, in microseconds, by model, for a log line.
     pub fn token_us(&self) -> impl Iterator<Item = (&SmolStr, f64)> {
-        let rows = self.paces.iter();
+        let rows = self.service_times.iter();
         rows.map(|(m, p)| (m, (p.token_ms() * 1000.0).round()))
     }
 
-    /// Tells whether an endpoint is ejected for its failures.
+    /// Returns `true` if an endpoint is ejected because of failures.
     #[must_use]
     pub fn is_ejected(&self, now: Instant, key: EndpointKey) -> bool {
         self.rows.get(key).is_some_and(|r| r.health.is_ejected(now))
     }
 
-    /// Tells whether an endpoint has been out of reach for so long that its models have to be elsewhere.
+    /// Returns `true` if an endpoint has been unreachable for so long that its models have to be loaded
+    /// elsewhere.
     #[must_use]
     pub fn is_lost(&self, now: Instant, key: EndpointKey) -> bool {
         self.rows.get(key).is_some_and(|r| r.health.is_lost(now))
     }
 
-    /// Gives the endpoints that could not be reached lately, for the VMs of the zone.
+    /// Returns the endpoints that were unreachable recently, to report them to the VMs of the zone.
     pub fn unreached(&self, now: Instant) -> impl Iterator<Item = EndpointKey> {
-        let fresh = move |t: Instant| now.duration_since(t) < UNREACHED_SAID_FOR;
+        let fresh = move |t: Instant| now.duration_since(t) < UNREACHABLE_REPORT_TIME;
         let rows = self.rows.iter();
         rows.filter(move |(_, r)| r.health.unreached().is_some_and(fresh))
             .map(|(k, _)| k)
     }
 
-    /// Tells whether an endpoint may get a request now, as far as its failures and its zone go.
+    /// Returns `true` if neither the endpoint's failures nor its zone's reachability prevent sending it a
+    /// request.
     #[must_use]
     pub fn accepts(&self, now: Instant, key: EndpointKey, e: &Endpoint) -> bool {
         let row = self.rows.get(key);
         let alone = row.is_none_or(|r| r.health.accepts(now, r.own.requests));
-        alone && !self.ways.is_cut(now, &e.zone)
+        alone && !self.reachability.is_cut(now, &e.zone)
     }
 
-    /// Gives what this gateway has at each endpoint, for the others.
+    /// Returns the load of this gateway at each endpoint, to report it to the other gateways.
     pub fn own(&self) -> impl Iterator<Item = (EndpointKey, Taken)> {
         let rows = self.rows.iter().filter(|(_, r)| r.own.requests > 0.0);
         rows.map(|(k, r)| (k, r.own))
@@ -474,7 +490,7 @@
 
 /// Commands.
 impl Balance {
-    /// Notes that a job is sent to an endpoint.
+    /// Records that a job is sent to an endpoint.
     pub fn start(
         &mut self,
         now: Instant,
@@ -514,11 +530,14 @@
         }
     }
 
-    /// Notes that another gateway sends a job to an endpoint, or this one does, by this one's choice.
+    /// Records that a job was assigned to an endpoint, to be sent by another gateway or by this one.
     pub fn record_assignment(&mut self, now: Instant, key: EndpointKey, job: &Job) {
         let ms = |ms: f64| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or_default();
         let work_ms = self.work_ms(key, job);
-        let pace = job.model.as_ref().and_then(|m| self.paces.get(&m.model));
+        let pace = job
+            .model
+            .as_ref()
+            .and_then(|m| self.service_times.get(&m.model));
         let held = self.held_ms.get(&job.service).copied();
         let held = pace.map(|p| p.held_ms(job.max_output)).or(held);
         if let Some(row) = self.row(now, key) {
@@ -529,20 +548,20 @@
         }
     }
 
-    /// Notes that a first result came.
+    /// Records the first result of a request.
     pub fn record_first_result(&mut self, now: Instant, sent: &mut Sent) {
         if sent.first.is_some() {
             return;
         }
         let took = now.duration_since(sent.at);
         sent.first = Some(took);
-        self.read(sent);
+        self.finish_prompt(sent);
         let took_ms = took.as_secs_f64() * 1000.0;
         if let (true, Some(model)) = (sent.alone, &sent.job_model) {
-            let pace = self.paces.entry(model.clone()).or_default();
+            let pace = self.service_times.entry(model.clone()).or_default();
             pace.first(sent.unread, took_ms);
         }
-        self.ways.answer(&sent.zone);
+        self.reachability.answer(&sent.zone);
         if std::mem::take(&mut sent.trial) {
             self.backpressure.end_trial(now, sent.key, true);
         }
@@ -550,14 +569,14 @@
             row.health.answer(now);
             let sample = took_ms / sent.expected_ms.max(1.0);
             let before = row.slowness(now);
-            // The estimate that was beaten or missed had the slowness in it already.
+            // The expected time already included the slowness factor.
             let target = (before * sample).clamp(1.0, MAX_SLOWNESS);
             row.slowness = (before + (target - before) * SMOOTHING, now);
         }
     }
 
-    /// Takes a request's prompt off what is ahead.
-    fn read(&mut self, sent: &mut Sent) {
+    /// Removes a request's prompt from the outstanding work.
+    fn finish_prompt(&mut self, sent: &mut Sent) {
         if let Some(row) = self.rows.get_mut(sent.key) {
             #[expect(clippy::cast_possible_truncation, reason = "rounding is harmless")]
             let work = sent.work_ms as f32;
@@ -567,9 +586,9 @@
         sent.work_ms = 0.0;
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn finish(&mut self, now: Instant, mut sent: Sent, ending: AttemptOutcome) {
-        self.read(&mut sent);
+        self.finish_prompt(&mut sent);
         if sent.trial {
             self.backpressure.end_trial(now, sent.key, false);
         }
@@ -578,7 +597,7 @@
             let v = self.held_ms.entry(sent.service.clone()).or_insert(held);
             *v += (held - *v) * HELD_SMOOTHING;
             if let Some(model) = &sent.job_model {
-                let pace = self.paces.entry(model.clone()).or_default();
+                let pace = self.service_times.entry(model.clone()).or_default();
                 pace.whole(sent.max_output, held);
             }
         }
@@ -599,7 +618,7 @@
             }
             AttemptOutcome::Failed(Failure::Connect) => {
                 row.health.fail(now, true);
-                self.ways.fail(now, &sent.zone, sent.key);
+                self.reachability.fail(now, &sent.zone, sent.key);
             }
             AttemptOutcome::Failed(Failure::Broken | Failure::ServerError | Failure::Deadline) => {
                 row.health.fail(now, false);
@@ -607,9 +626,10 @@
         }
     }
 
-    /// Takes in what another gateway has at the endpoints.
+    /// Applies another gateway's report of its load at the endpoints.
     ///
-    /// The sums change by what the message changes: a VM hears hundreds of messages a second, and there are thousands of endpoints.
+    /// Only the sums of the reported endpoints are updated: a VM receives hundreds of messages per second, and
+    /// there are thousands of endpoints.
     pub fn receive(&mut self, now: Instant, from: VmName, taken: Vec<(EndpointKey, Taken)>) {
         let before = self.messages.remove(&from);
         for (key, t) in before.iter().flat_map(|(_, w)| w) {
@@ -632,7 +652,7 @@
         }
     }
 
-    /// Drops what other gateways said too long ago, and sums up anew what is left.
+    /// Drops expired reports of other gateways, and recomputes the sums from the remaining ones.
     pub fn refresh(&mut self, now: Instant) {
         self.messages
             .retain(|_, (at, _)| now.duration_since(*at) < MESSAGE_LIFE);
@@ -648,14 +668,14 @@
         self.messages = messages;
     }
 
-    /// Takes in that a VM of this zone can't reach an endpoint.
+    /// Applies the report of a VM of this zone that it can't reach an endpoint.
     pub fn report_unreachable(&mut self, now: Instant, key: EndpointKey) {
         if let Some(row) = self.row(now, key) {
             row.health.report_unreachable(now);
         }
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Drops an endpoint that is gone.
     pub fn forget(&mut self, key: EndpointKey) {
         self.rows.remove(key);
         self.backpressure.forget(key);
@@ -664,7 +684,7 @@
         }
     }
 
-    /// Gives the row of an endpoint; none if its key names one that is gone.
+    /// Returns the row of an endpoint, or `None` if its key belongs to an endpoint that is gone.
     fn row(&mut self, now: Instant, key: EndpointKey) -> Option<&mut Row> {
         let row = self.rows.entry(key)?;
         Some(row.or_insert_with(|| Row::new(now)))
--- a/crates/limehollow/src/health.rs
+++ b/crates/limehollow/src/health.rs
@@ -1,48 +1,52 @@
-//! Which endpoints can't be reached or fail what they are sent.
+//! Tracks which endpoints are unreachable or fail their requests.
 //!
-//! An endpoint that fails is ejected for a while and then proves itself with one request at a time. Several endpoints
-//! of an availability zone that can't be reached, with no answer from any of the zone since, show that the way to the
-//! zone is cut; then all of it is left out at once, not one endpoint after the other.
+//! An endpoint that fails is ejected for a while; afterwards it receives one request at a time until one is
+//! answered. If several endpoints of an availability zone are unreachable and none of the zone has answered
+//! since, the network path to the zone is considered cut. Then the whole zone is excluded at once instead of
+//! one endpoint after another.
 
 use crate::id::{EndpointKey, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The weight of a new sample in the share of failures.
+/// The weight of a new sample in the failure rate.
 const SMOOTHING: f64 = 0.2;
-/// An endpoint whose smoothed share of failures is above this is ejected: two failures in a row.
+/// An endpoint whose smoothed failure rate is above this is ejected: two consecutive failures.
 const EJECT_ABOVE: f64 = 0.35;
-/// The share of failures that an endpoint comes back with, so that one more ejects it again.
+/// The failure rate that an endpoint has after an ejection, so that one more failure ejects it again.
 const PROBATION: f64 = 0.25;
-/// The time constant with which failures fade while nothing is sent there.
+/// The time constant with which the failure rate decays while nothing is sent to the endpoint.
 const ERRORS_MEMORY_S: f64 = 2.0;
 const FIRST_EJECTION: Duration = Duration::from_millis(1500);
 const LONGEST_EJECTION: Duration = Duration::from_secs(8);
-/// How many endpoints of a zone have to be out of reach until the zone counts as cut off: one may have crashed.
-const CUT_FROM: usize = 2;
-/// For how long a zone counts as cut off after the last failure to reach it: then its endpoints are tried again.
-const CUT_FOR: Duration = Duration::from_millis(1500);
-/// An answer that came so lately goes before what another VM says of an endpoint: messages take so long.
-const ANSWERED_LATELY: Duration = Duration::from_millis(300);
-/// After how long out of reach an endpoint counts as lost for the placement of models: some tries of one VM, and well
-/// before the platform's list drops it, which takes three to five seconds.
+/// The number of unreachable endpoints from which a zone is considered cut off. A single one may have crashed.
+const MIN_CUT_ENDPOINTS: usize = 2;
+/// How long a zone is considered cut off after the last failure to reach it; then its endpoints are tried
+/// again.
+const CUT_TIME: Duration = Duration::from_millis(1500);
+/// An answer more recent than this overrides another VM's report that the endpoint is unreachable: messages are
+/// delayed by about this time.
+const RECENT_ANSWER: Duration = Duration::from_millis(300);
+/// How long an endpoint has to be unreachable until placement considers it lost: several attempts of one VM,
+/// and well before the platform's list drops it, which takes three to five seconds.
 const LOST_AFTER: Duration = Duration::from_millis(600);
 
-/// After how long the platform's list tells better whether an endpoint is there: it drops one that is silent.
-const LISTED_AGAIN: Duration = Duration::from_secs(6);
+/// How long an endpoint has to be unreachable until the platform's list is the better source for whether it
+/// exists: the list drops an endpoint that doesn't respond.
+const LIST_UPDATE_TIME: Duration = Duration::from_secs(6);
 
-/// How one endpoint does.
+/// The health of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    /// The smoothed share of failures, and when it was last raised.
+    /// The smoothed failure rate, which decays from the time of the last failure (`failed`).
     errors: f64,
     failed: Option<Instant>,
     ejections: u32,
     ejected_until: Option<Instant>,
-    /// Whether nothing has come from it since it was ejected.
+    /// Whether nothing has been received from the endpoint since it was ejected.
     is_unproven: bool,
-    /// Since when it can't be reached, with no answer since.
+    /// The time since which the endpoint is unreachable, with no answer since.
     unreached: Option<Instant>,
     answered: Option<Instant>,
 }
@@ -52,33 +56,34 @@
         self.ejected_until.is_some_and(|t| now < t)
     }
 
-    /// Gives the share of failures, which fades: an endpoint that failed gets little, so what little it gets would not
-    /// clear it for long after it is well.
+    /// Returns the failure rate with its decay. An endpoint that failed receives few requests, so without the
+    /// decay its few successes would not clear it until long after it has recovered.
     pub(crate) fn errors(&self, now: Instant) -> f64 {
         let fade = |t: Instant| (-now.duration_since(t).as_secs_f64() / ERRORS_MEMORY_S).exp();
         self.errors * self.failed.map_or(1.0, fade)
     }
 
-    /// Tells whether the endpoint takes another request: while it is unproven, one at a time.
+    /// Returns `true` if the endpoint may be sent another request; while it is unproven, it gets one at a time.
     pub(crate) fn accepts(&self, now: Instant, in_flight: f32) -> bool {
         !self.is_ejected(now) && (!self.is_unproven || in_flight < 1.0)
     }
 
-    /// Tells whether the endpoint has been out of reach for so long that its models have to be elsewhere.
+    /// Returns `true` if the endpoint has been unreachable for so long that its models have to be loaded
+    /// elsewhere.
     pub(crate) fn is_lost(&self, now: Instant) -> bool {
-        let lost = |t: Instant| (LOST_AFTER..LISTED_AGAIN).contains(&now.duration_since(t));
+        let lost = |t: Instant| (LOST_AFTER..LIST_UPDATE_TIME).contains(&now.duration_since(t));
         self.unreached.is_some_and(lost)
     }
 
-    /// Gives since when the endpoint can't be reached.
+    /// Returns the time since which the endpoint is unreachable.
     pub(crate) fn unreached(&self) -> Option<Instant> {
         self.unreached
     }
 
-    /// Notes a failure; one to reach the endpoint ejects it at once.
+    /// Records a failure. A failure to connect ejects the endpoint at once.
     pub(crate) fn fail(&mut self, now: Instant, unreached: bool) {
         if unreached {
-            let known = |t: &Instant| now.duration_since(*t) < LISTED_AGAIN;
+            let known = |t: &Instant| now.duration_since(*t) < LIST_UPDATE_TIME;
             self.unreached = self.unreached.filter(known).or(Some(now));
         }
         let before = self.errors(now);
@@ -94,23 +99,23 @@
         self.errors = PROBATION;
     }
 
-    /// Notes that a VM of this zone can't reach the endpoint.
+    /// Applies the report of a VM of this zone that it can't reach the endpoint.
     pub(crate) fn report_unreachable(&mut self, now: Instant) {
-        let lately = |t: Instant| now.duration_since(t) < ANSWERED_LATELY;
+        let lately = |t: Instant| now.duration_since(t) < RECENT_ANSWER;
         if self.is_ejected(now) || self.is_unproven || self.answered.is_some_and(lately) {
             return;
         }
         self.fail(now, true);
     }
 
-    /// Notes that something came from the endpoint.
+    /// Records that the endpoint answered.
     pub(crate) fn answer(&mut self, now: Instant) {
         self.answered = Some(now);
         self.unreached = None;
         self.is_unproven = false;
     }
 
-    /// Notes that a request came to a good end.
+    /// Records a successful request.
     pub(crate) fn succeed(&mut self) {
         self.errors -= self.errors * SMOOTHING;
         if self.errors < PROBATION / 4.0 {
@@ -119,26 +124,27 @@
     }
 }
 
-/// The endpoints of each zone that can't be reached.
+/// The unreachable endpoints of each zone.
 #[derive(Debug, Default)]
-pub(crate) struct ZoneWays {
+pub(crate) struct ZoneReachability {
     zones: BTreeMap<ZoneName, (Instant, BTreeSet<EndpointKey>)>,
 }
 
-impl ZoneWays {
-    /// Tells whether the way to a zone is cut.
+impl ZoneReachability {
+    /// Returns `true` if the network path to a zone is considered cut.
     pub(crate) fn is_cut(&self, now: Instant, zone: &ZoneName) -> bool {
-        self.zones
-            .get(zone)
-            .is_some_and(|(at, keys)| keys.len() >= CUT_FROM && now.duration_since(*at) < CUT_FOR)
+        self.zones.get(zone).is_some_and(|(at, keys)| {
+            keys.len() >= MIN_CUT_ENDPOINTS && now.duration_since(*at) < CUT_TIME
+        })
     }
 
-    /// Notes that an endpoint of a zone can't be reached. Gives whether this shows that the zone is cut off.
+    /// Records that an endpoint of a zone is unreachable. Returns `true` if this newly shows that the zone is
+    /// cut off.
     pub(crate) fn fail(&mut self, now: Instant, zone: &ZoneName, key: EndpointKey) -> bool {
         let was_cut = self.is_cut(now, zone);
         let row = self.zones.entry(zone.clone());
         let (at, keys) = row.or_insert_with(|| (now, BTreeSet::new()));
-        if now.duration_since(*at) >= CUT_FOR {
+        if now.duration_since(*at) >= CUT_TIME {
             keys.clear();
         }
         *at = now;
@@ -146,7 +152,7 @@
         !was_cut && self.is_cut(now, zone)
     }
 
-    /// Notes that something came from the zone.
+    /// Records that an endpoint of the zone answered.
     pub(crate) fn answer(&mut self, zone: &ZoneName) {
         self.zones.remove(zone);
     }
