--- a/crates/limehollow/src/job.rs
+++ b/crates/limehollow/src/job.rs
@@ -1,4 +1,4 @@
-//! What a request asks of an endpoint.
+//! The requirements of a request on an endpoint.
 
 use crate::id::{ServiceName, ZoneName};
 use crate::roster::ModelRef;
@@ -7,42 +7,43 @@
 use std::hash::Hasher;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How many ranks are told apart; those behind count as the last.
+/// The number of distinct ranks; higher ranks count as the last.
 pub const RANKS: usize = 4;
 
 /// A part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part's content.
+    /// The identifier of the part's content.
     pub id: u64,
-    /// Its length in tokens.
+    /// The part's length in tokens.
     pub tokens: u32,
 }
 
-/// What a request asks of an endpoint.
+/// The requirements of a request on an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// The service.
+    /// The requested service.
     pub service: ServiceName,
     /// The model, if the service runs models.
     pub model: Option<ModelRef>,
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub max_output: u32,
     /// The rank; 0 is the most urgent.
     pub rank: u8,
-    /// Whether it is to run where it takes the fewest others along: its endpoint may end under it.
+    /// Whether the job has to run where the fewest other requests fail with it, since it may crash its
+    /// endpoint.
     pub isolated: bool,
-    /// The zones in which it may run; any where none is named.
+    /// The zones in which the job may run; `None` allows all zones.
     pub zones: Option<BTreeSet<ZoneName>>,
-    /// Hashes of the prompt's beginnings, the shortest first, each with the tokens that its last part
+    /// The hashes of the prompt's prefixes, shortest first, each with the number of tokens that its last part
     /// adds.
     pub(crate) beginnings: Vec<(u64, u32)>,
 }
 
 impl Job {
-    /// Makes a job of a plain service.
+    /// Creates a job for a plain service.
     #[must_use]
     pub fn plain(service: ServiceName, rank: u8) -> Self {
         Self {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Makes a job of a service that runs models.
+    /// Creates a job for a service that runs models.
     #[must_use]
     pub fn generation(
         service: ServiceName,
@@ -85,19 +86,19 @@
         }
     }
 
-    /// Gives the same job, which may run in these zones only; in any where none is named.
+    /// Restricts the job to the given zones; `None` allows all zones.
     #[must_use]
     pub fn restricted_to(self, zones: Option<BTreeSet<ZoneName>>) -> Self {
         Self { zones, ..self }
     }
 
-    /// Tells whether it may run in a zone.
+    /// Returns `true` if the job may run in a zone.
     #[must_use]
     pub fn may_run_in(&self, zone: &ZoneName) -> bool {
         self.zones.as_ref().is_none_or(|z| z.contains(zone))
     }
 
-    /// Gives the tokens that the request will hold in memory, as far as can be said before it runs.
+    /// Returns the estimated number of tokens that the request will hold in memory.
     pub(crate) fn tokens(&self) -> f64 {
         f64::from(self.prompt_tokens) + 0.6 * f64::from(self.max_output)
     }
