--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -559,7 +559,7 @@
         let took_ms = took.as_secs_f64() * 1000.0;
         if let (true, Some(model)) = (sent.alone, &sent.job_model) {
             let pace = self.service_times.entry(model.clone()).or_default();
-            pace.first(sent.unread, took_ms);
+            pace.record_first_result(sent.unread, took_ms);
         }
         self.reachability.answer(&sent.zone);
         if std::mem::take(&mut sent.trial) {
@@ -598,7 +598,7 @@
             *v += (held - *v) * HELD_SMOOTHING;
             if let Some(model) = &sent.job_model {
                 let pace = self.service_times.entry(model.clone()).or_default();
-                pace.whole(sent.max_output, held);
+                pace.record_completed(sent.max_output, held);
             }
         }
         let Some(row) = self.rows.get_mut(sent.key) else {
--- a/crates/limehollow/src/pace.rs
+++ b/crates/limehollow/src/pace.rs
@@ -1,26 +1,28 @@
-//! How fast an endpoint serves a model, learnt from the requests that it served.
+//! Measures how fast endpoints serve a model.
 //!
-//! Two figures go into what a request takes of an endpoint: the time for which its prompt is read, and the time for
-//! which it holds a place. Both differ eightfold between the models of one service.
+//! Two values determine the share of an endpoint that a request uses: the time for which its prompt is
+//! processed, and the time for which it occupies a slot. Both differ by a factor of eight between the models of
+//! one service.
 
-/// What a token of a prompt takes as long as nothing was measured, in ms: a large model on the accelerators of the
-/// first users, so that an unknown model is rather held for too slow.
+/// The processing time per prompt token until it was measured, in ms. It is that of a large model on the
+/// accelerators of the first users, so an unknown model is assumed to be slow rather than fast.
 const DEFAULT_TOKEN_MS: f64 = 0.055;
-/// The part of the time to a first result that every request has, in ms: the network there and back and one step. It
-/// was 17 to 22 ms in samples of prompts under 300 tokens.
+/// The constant part of the time to a first result, in ms: a network round trip and one step. It was 17 to 22
+/// ms in samples of prompts under 300 tokens.
 const FIRST_MS: f64 = 20.0;
-/// Shorter prompts say little of a token's time: what else is in the sample is as long as they take.
+/// The shortest prompt that is used as a sample, in tokens. With shorter ones the rest of the sample takes as
+/// long as the prompt.
 const MIN_TOKENS: u32 = 300;
-/// The part by which a sample moves the figure: half of it at first, a tenth later.
+/// The fraction by which a sample changes the value: half of it at first, a tenth later.
 const FIRST_STEP: f64 = 0.5;
 const LAST_STEP: f64 = 0.1;
-/// The bounds of a token's time, in ms.
+/// The bounds of the time per token, in ms.
 const FASTEST_MS: f64 = 0.001;
 const SLOWEST_MS: f64 = 1.0;
-/// The weight that earlier requests keep in the time for which places are held, when another ends.
-const KEEP: f64 = 0.98;
+/// The weight that earlier requests keep in the slot occupancy time when another request ends.
+const DECAY: f64 = 0.98;
 
-/// How fast one model is served.
+/// The processing times of one model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Pace {
     token_ms: f64,
@@ -41,12 +43,13 @@
 }
 
 impl Pace {
-    /// Gives what a token of a prompt takes to read, in ms.
+    /// Returns the processing time per prompt token, in ms.
     pub(crate) fn token_ms(&self) -> f64 {
         self.token_ms
     }
 
-    /// Gives how long a request that may generate so many tokens holds a place, in ms; zero if none has ended yet.
+    /// Returns how long a request that generates up to `max_output` tokens occupies a slot, in ms; zero if no
+    /// request has ended yet.
     pub(crate) fn held_ms(&self, max_output: u32) -> f64 {
         if self.output <= 0.0 {
             return 0.0;
@@ -54,11 +57,12 @@
         self.held_ms / self.output * f64::from(max_output)
     }
 
-    /// Takes in the time to the first result of a prompt that no other was read before.
+    /// Records the time to the first result of a prompt that was processed alone.
     ///
-    /// The figure goes towards the middle one of the samples, each of which moves it by the same part: some hold
-    /// long waits for what isn't known here, and some prompts are kept at the endpoint without this being known.
-    pub(crate) fn first(&mut self, unread: u32, took_ms: f64) {
+    /// The value converges to the median of the samples, as each sample changes it by the same fraction: some
+    /// samples contain long waits of unknown cause, and some prompts are in the endpoint's prefix cache without
+    /// this being known.
+    pub(crate) fn record_first_result(&mut self, unread: u32, took_ms: f64) {
         if unread < MIN_TOKENS {
             return;
         }
@@ -73,9 +77,9 @@
         self.token_ms = (self.token_ms * factor).clamp(FASTEST_MS, SLOWEST_MS);
     }
 
-    /// Takes in for how long a whole request held a place that might have generated so many tokens.
-    pub(crate) fn whole(&mut self, max_output: u32, held_ms: f64) {
-        self.held_ms = self.held_ms * KEEP + held_ms;
-        self.output = self.output * KEEP + f64::from(max_output);
+    /// Records how long a complete request that could have generated `max_output` tokens occupied a slot.
+    pub(crate) fn record_completed(&mut self, max_output: u32, held_ms: f64) {
+        self.held_ms = self.held_ms * DECAY + held_ms;
+        self.output = self.output * DECAY + f64::from(max_output);
     }
 }
