--- a/crates/limehollow/src/assignments.rs
+++ b/crates/limehollow/src/assignments.rs
@@ -1,29 +1,31 @@
-//! What one VM has promised an endpoint's requests to others, as it knows without hearing from them.
+//! Tracks the requests that one VM has assigned to an endpoint, before other VMs report them.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The requests that were promised a place at one endpoint.
+/// The requests that were assigned to one endpoint.
 ///
-/// Others tell what they have there a quarter of a second late, in which an endpoint reads several prompts. Who promised the
-/// places knows at once, and reckons when each is free again by what requests take on average.
+/// Other VMs report their requests a quarter of a second late, in which time an endpoint processes several
+/// prompts. The VM that assigned the endpoint knows its assignments at once, and estimates when each slot is
+/// free again from the mean time for which requests occupy one.
 #[derive(Debug, Default)]
 pub(crate) struct Assignments {
-    /// Until when the endpoint reads the prompts that it was promised.
-    read_until: Option<Instant>,
-    /// When each request is expected to end.
+    /// The time until which the endpoint processes the assigned prompts.
+    busy_until: Option<Instant>,
+    /// The time at which each request is expected to end.
     ends: Vec<Instant>,
 }
 
 impl Assignments {
-    /// Notes a request whose prompt takes `work` to read, and that is expected to be held for `held`.
+    /// Records a request whose prompt takes `work` to process, and that is expected to occupy a slot for
+    /// `held`.
     pub(crate) fn add(&mut self, now: Instant, work: Duration, held: Duration) {
         self.ends.retain(|t| *t > now);
         self.ends.push(now + held);
-        self.read_until = Some(self.read_until.map_or(now, |t| t.max(now)) + work);
+        self.busy_until = Some(self.busy_until.map_or(now, |t| t.max(now)) + work);
     }
 
-    /// Counts the requests that are expected to run.
+    /// Returns the number of requests that are expected to be running.
     pub(crate) fn requests(&self, now: Instant) -> f32 {
         let running = self.ends.iter().filter(|t| **t > now).count();
         #[expect(clippy::cast_precision_loss, reason = "an endpoint has few requests")]
@@ -31,9 +33,9 @@
         running
     }
 
-    /// Gives for how long the endpoint is expected to read prompts, in ms.
+    /// Returns how long the endpoint is expected to process assigned prompts, in ms.
     pub(crate) fn ahead_ms(&self, now: Instant) -> f32 {
-        let left = self.read_until.map(|t| t.saturating_duration_since(now));
+        let left = self.busy_until.map(|t| t.saturating_duration_since(now));
         left.unwrap_or_default().as_secs_f32() * 1000.0
     }
 }
