--- a/crates/limehollow/src/late_loads.rs
+++ b/crates/limehollow/src/late_loads.rs
@@ -1,9 +1,10 @@
-//! Loads that were ordered without an answer, and may be carried out by a later start of the endpoint.
+//! Tracks load orders that received no answer and may be executed after a restart of the endpoint.
 //!
-//! An order names the endpoint's id and the number of orders that it has taken. Within one start that number makes an
-//! order void once another was taken. A later start counts anew, so a late order may meet the right number there by
-//! chance, when other orders have filled the endpoint. So room is kept for it until the count has passed its number, or
-//! it can't come any more (`docs/design/system.md`, "Endpoints that start again").
+//! An order contains the endpoint's id and the number of orders that the endpoint has executed. Within one
+//! start of the endpoint, the number voids an order once another order was executed. A later start counts from
+//! zero, so a late order may match the number by chance after other orders have filled the endpoint. Memory is
+//! therefore reserved for the order until the count has passed its number, or until it can't arrive any more
+//! (`docs/design/system.md`, "Endpoints that start again").
 
 use crate::catalog::EngineSpec;
 use crate::instance::{Instance, Start};
@@ -14,15 +15,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long an order without an answer may still be carried out: the users' endpoints do so 2 to 12 seconds later.
+/// The longest delay after which an unanswered order may still be executed. The users' endpoints execute such
+/// orders 2 to 12 seconds later.
 pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 
-/// What has to stay free on an endpoint.
+/// The capacity of an endpoint that has to stay free.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reserve {
-    /// Megabytes of its memory for weights.
+    /// Memory for weights, in megabytes.
     pub megabytes: f64,
-    /// Places for adapters.
+    /// Adapter slots.
     pub adapters: usize,
 }
 
@@ -34,7 +36,7 @@
     expected: u64,
 }
 
-/// The loads that one holder of the lease ordered without an answer, by the endpoint's id.
+/// The unanswered load orders of one lease holder, by the endpoint's id.
 #[derive(Clone, Debug, Default)]
 pub struct LateLoads {
     rows: BTreeMap<SmolStr, Vec<LateLoad>>,
@@ -42,7 +44,8 @@
 
 /// Queries.
 impl LateLoads {
-    /// Gives what has to stay free at an endpoint, by what is known of it, when something else is loaded there.
+    /// Returns the capacity that has to stay free when `loading` is loaded on an endpoint in the state of
+    /// `book`.
     #[must_use]
     pub fn reserve(
         &self,
@@ -60,7 +63,7 @@
         for l in self.rows.get(id).into_iter().flatten() {
             let is_due =
                 now.duration_since(l.ordered) < MAX_ORDER_DELAY && l.expected >= book.orders_taken;
-            // Counts rise within a start, so one below the order's shows a later start too.
+            // Counts only rise within a start, so a count below the order's number also shows a later start.
             let is_other_start =
                 reporting.compare(&l.to) == Start::Later || book.orders_taken < l.expected;
             if !is_due
@@ -86,7 +89,7 @@
 
 /// Commands.
 impl LateLoads {
-    /// Notes a load that was ordered of this start of an endpoint, and not answered.
+    /// Records a load order to one start of an endpoint that received no answer.
     pub fn record(&mut self, now: Instant, to: &Instance, subject: &ModelRef, expected: u64) {
         self.rows.retain(|_, loads| {
             loads.retain(|l| now.duration_since(l.ordered) < MAX_ORDER_DELAY);
