--- a/crates/limehollow/src/load.rs
+++ b/crates/limehollow/src/load.rs
@@ -1,7 +1,7 @@
-//! How busy each endpoint is, as one gateway knows it.
+//! Estimates the load of each endpoint from the view of one gateway.
 //!
-//! A gateway knows its own outstanding requests at once; what an endpoint reports comes late and may
-//! be wrong. Neither is trusted alone (`docs/design/routing.md`).
+//! A gateway knows its own outstanding requests immediately; the reports of endpoints arrive late and may be
+//! wrong, so the estimate uses both (`docs/design/routing.md`).
 
 use crate::id::EndpointKey;
 use crate::verdict::Failure;
@@ -9,46 +9,46 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The concurrency limit that an endpoint starts with.
+/// The initial concurrency limit of an endpoint.
 pub const INITIAL_LIMIT: f64 = 8.0;
-/// The highest concurrency limit.
+/// The highest concurrency limit of an endpoint.
 pub const MAX_LIMIT: f64 = 512.0;
-/// After how long a report says nothing any more.
+/// The age from which a load report is ignored.
 pub const REPORT_LIFE: Duration = Duration::from_secs(5);
-/// After how many failures in a row an endpoint is ejected.
+/// The number of consecutive failures after which an endpoint is ejected.
 pub const EJECT_AFTER: u32 = 3;
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
 const LONGEST_EJECTION: Duration = Duration::from_secs(30);
 const LIMIT_CUT: f64 = 0.9;
-/// A first answer that takes this many times the usual shortest one is a sign of overload.
+/// The factor above the usual shortest time to the first byte from which an answer indicates overload.
 const SLOW_FACTOR: f64 = 3.0;
 const SMOOTHING: f64 = 0.2;
-/// A first answer that is late by no more than this is no sign of overload, whatever the usual one
-/// takes: engines batch, so a short queue inside them keeps them busy.
+/// The lateness, in seconds, up to which an answer doesn't indicate overload, whatever the usual time is:
+/// engines batch requests, and a short queue inside them keeps them busy.
 const SLACK: f64 = 0.25;
-/// How many mean deviations above the mean an answer is expected to take at most.
+/// The number of mean deviations above the mean within which most answers are expected.
 const DEVIATIONS: f64 = 2.0;
 
-/// What an endpoint says of its own load.
+/// An endpoint's report of its own load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// The number of requests being processed.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// The number of requests queued inside the endpoint.
     pub waiting: u32,
-    /// How many it can work on at once.
+    /// The number of requests that the endpoint can process concurrently.
     pub slots: u32,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came; the time to its first byte and in all.
+    /// The complete answer was received.
     Completed {
-        /// The time to the first byte.
+        /// The time to the first byte of the answer.
         first: Duration,
     },
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
     /// The attempt failed.
     Failed(Failure),
@@ -83,9 +83,11 @@
 }
 
 impl Load {
-    /// Estimates the requests of others: what the report counted beyond our own at that time, fading
-    /// with the report's age and never above what the endpoint can do at once, so that a wrong
-    /// report can make it unattractive but not unusable.
+    /// Estimates the requests of other gateways at the endpoint.
+    ///
+    /// The estimate is what the report counted beyond this gateway's requests at that time. It decays with the
+    /// age of the report and is limited to the endpoint's slots, so a wrong report can make an endpoint
+    /// unattractive but not unusable.
     fn others(&self, now: Instant) -> f64 {
         let Some((at, r, own_then)) = self.report else {
             return 0.0;
@@ -110,9 +112,10 @@
 
     fn has_room(&self) -> bool {
         let with_one_more = f64::from(self.outstanding) + 1.0;
-        // One request of our own always may go, or a lying report could shut an endpoint for good.
-        // What others have there only steers the choice: gating on it as well leaves slots empty, since
-        // every gateway steps back for the same late report (docs/design/routing.md).
+        // A gateway without outstanding requests may always send one; otherwise a wrong report could exclude an
+        // endpoint permanently. The requests of other gateways affect only the choice between endpoints: if
+        // they also counted here, slots would stay empty, since every gateway would hold back because of the
+        // same late report (docs/design/routing.md).
         self.outstanding == 0 || with_one_more <= self.limit
     }
 
@@ -120,7 +123,8 @@
         self.ejected_until.is_some_and(|t| now < t)
     }
 
-    /// After its time an ejected endpoint gets one request at a time until one succeeds.
+    /// Returns `true` if the endpoint has to answer one request before it gets another, as is the case after an
+    /// ejection.
     fn on_probation(&self) -> bool {
         self.ejected_until.is_some() && self.outstanding > 0
     }
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Lowers the limit, at most once in the time of one answer.
+    /// Lowers the limit, at most once within `pause`.
     fn cut(&mut self, now: Instant, pause: Duration) {
         if self.last_cut.is_some_and(|t| now.duration_since(t) < pause) {
             return;
@@ -174,13 +178,13 @@
 
 /// Queries.
 impl Loads {
-    /// Gives the requests of this gateway that an endpoint works on.
+    /// Returns the number of this gateway's outstanding requests at an endpoint.
     #[must_use]
     pub fn outstanding(&self, key: EndpointKey) -> u32 {
         self.rows.get(key).map_or(0, |l| l.outstanding)
     }
 
-    /// Estimates all requests that an endpoint works on, ours and others'.
+    /// Estimates the outstanding requests of all gateways at an endpoint.
     #[must_use]
     pub fn estimate(&self, now: Instant, key: EndpointKey) -> f64 {
         self.rows
@@ -188,13 +192,13 @@
             .map_or(0.0, |l| f64::from(l.outstanding) + l.others(now))
     }
 
-    /// Gives how many requests at once this gateway may have at an endpoint.
+    /// Returns the number of concurrent requests that this gateway may have at an endpoint.
     #[must_use]
     pub fn slots(&self, now: Instant, key: EndpointKey) -> f64 {
         self.rows.get(key).map_or(INITIAL_LIMIT, |l| l.slots(now))
     }
 
-    /// Tells whether an endpoint can take one more request of this gateway now.
+    /// Returns `true` if this gateway may send an endpoint one more request now.
     #[must_use]
     pub fn has_room(&self, key: EndpointKey) -> bool {
         self.rows
@@ -202,7 +206,7 @@
             .is_none_or(|l| l.has_room() && !l.on_probation())
     }
 
-    /// Tells whether an endpoint is ejected for its failures.
+    /// Returns `true` if an endpoint is ejected because of failures.
     #[must_use]
     pub fn is_ejected(&self, now: Instant, key: EndpointKey) -> bool {
         self.rows.get(key).is_some_and(|l| l.is_ejected(now))
@@ -211,12 +215,12 @@
 
 /// Commands.
 impl Loads {
-    /// Notes a request that is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn start(&mut self, key: EndpointKey) {
         self.row(key).outstanding += 1;
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a request.
     pub fn finish(&mut self, now: Instant, key: EndpointKey, ending: AttemptOutcome) {
         let l = self.row(key);
         l.outstanding = l.outstanding.saturating_sub(1);
@@ -224,7 +228,8 @@
             AttemptOutcome::Completed { first } => l.succeed(now, first),
             AttemptOutcome::Cancelled => {}
             AttemptOutcome::Failed(Failure::Refused) => l.cut(now, FIRST_EJECTION / 10),
-            // A deadline may be the caller's own haste, so it is no evidence against the endpoint.
+            // The deadline may have been too short for any endpoint, so missing it doesn't count as a failure
+            // of this one.
             AttemptOutcome::Failed(Failure::Deadline) => l.cut(now, FIRST_EJECTION),
             AttemptOutcome::Failed(Failure::Connect | Failure::Broken | Failure::ServerError) => {
                 l.fail(now);
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Takes in a report. `taken` is when it was true, as far as is known.
+    /// Applies a load report. `taken` is the time to which the report applies, as far as known.
     pub fn report(&mut self, taken: Instant, key: EndpointKey, report: LoadReport) {
         let l = self.row(key);
         let newer = l.report.is_none_or(|(at, ..)| at < taken);
@@ -241,7 +246,7 @@
         }
     }
 
-    /// Forgets the endpoints that a predicate doesn't name.
+    /// Drops the endpoints that don't match a predicate and have no outstanding request.
     pub fn retain<F>(&mut self, mut f: F)
     where
         F: FnMut(EndpointKey) -> bool,
@@ -257,7 +262,7 @@
     }
 }
 
-/// The usual times of a model's or a service's answers.
+/// The typical answer times of a model or service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceTime {
     first: Option<f64>,
@@ -266,7 +271,7 @@
 }
 
 impl ServiceTime {
-    /// Takes in a whole answer: the time to its first byte, the time after that, and its tokens.
+    /// Records a complete answer: the time to its first byte, the time after that, and its number of tokens.
     pub fn observe(&mut self, first: Duration, rest: Duration, tokens: u32) {
         let sample = first.as_secs_f64();
         let off = (sample - self.first.unwrap_or(sample)).abs();
@@ -280,8 +285,10 @@
         }
     }
 
-    /// Estimates the time that most answers of this many tokens take at most; zero as long as nothing
-    /// is known. By the mean alone, half of what is started last would be late.
+    /// Estimates the time within which most answers with this many tokens are complete; zero if nothing was
+    /// recorded.
+    ///
+    /// With the mean alone, half of the requests that start last before their deadline would miss it.
     #[must_use]
     pub fn estimate(&self, tokens: u32) -> Duration {
         let rest = self.per_token.unwrap_or(0.0) * f64::from(tokens.saturating_sub(1));
