--- a/crates/limehollow/src/load_window.rs
+++ b/crates/limehollow/src/load_window.rs
@@ -1,18 +1,19 @@
-//! Loads from the weight store, counted against what it allows.
+//! Limits the rate of loads from the weight store.
 //!
-//! The store allows so many loads to begin in any window of some seconds, over all endpoints. A plan counts the loads that
-//! it chooses, but an order comes later: what makes way first waits for its runs, for seconds where an endpoint is busy. So
-//! loads are counted again when they are ordered, by what the endpoint says then that it has at hand.
+//! The store limits how many loads may begin within a sliding window of some seconds, over all endpoints. A
+//! plan counts the loads that it chooses, but the order for a load may come seconds later, as the models that
+//! it replaces are unloaded only after their requests end. Loads are therefore counted again when they are
+//! ordered, by the copies that the endpoint reports at that time.
 
 use crate::catalog::EngineSpec;
 use crate::rebalance::LoadCeiling;
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Loads that are left out of what the weight store allows, for orders that are carried out late.
+/// The number of loads subtracted from the store's limit, for orders that are executed late.
 const CEILING_MARGIN: f64 = 2.0;
 
-/// The loads that have begun lately.
+/// The loads that began recently.
 #[derive(Debug, Default)]
 pub struct LoadWindow {
     begun: VecDeque<Instant>,
@@ -20,14 +21,14 @@
 
 /// Queries.
 impl LoadWindow {
-    /// Counts the loads of the last window.
+    /// Returns the number of loads that began within the window.
     #[must_use]
     pub fn begun(&self, now: Instant, ceiling: LoadCeiling) -> usize {
         let fresh = |t: &&Instant| now.duration_since(**t) <= ceiling.window;
         self.begun.iter().filter(fresh).count()
     }
 
-    /// Gives how many loads from the weight store may begin now.
+    /// Returns the number of loads from the weight store that may begin now.
     #[must_use]
     pub fn left(&self, now: Instant, spec: &EngineSpec, ceiling: LoadCeiling) -> usize {
         allowed(spec, ceiling).saturating_sub(self.begun(now, ceiling))
@@ -36,7 +37,7 @@
 
 /// Commands.
 impl LoadWindow {
-    /// Counts a load that begins now.
+    /// Records a load that begins now.
     pub fn begin(&mut self, now: Instant, ceiling: LoadCeiling) {
         while self
             .begun
@@ -48,7 +49,7 @@
         self.begun.push_back(now);
     }
 
-    /// Begins a load, if one is left.
+    /// Records a load that begins now if the limit allows it, and returns whether it does.
     pub fn try_begin(&mut self, now: Instant, spec: &EngineSpec, ceiling: LoadCeiling) -> bool {
         let may = self.left(now, spec, ceiling) > 0;
         if may {
@@ -57,8 +58,8 @@
         may
     }
 
-    /// Counts as many loads as are allowed as begun at a moment: another VM gave the orders until then, and nothing is
-    /// known of them.
+    /// Records as many loads as are allowed as begun at `at`: another VM issued the orders until then, and its
+    /// loads are unknown.
     pub fn assume_full(&mut self, at: Instant, spec: &EngineSpec, ceiling: LoadCeiling) {
         let earlier = self.begun.iter().filter(|t| **t < at).copied();
         let known: Vec<Instant> = earlier.collect();
@@ -68,7 +69,7 @@
     }
 }
 
-/// Gives how many loads may begin in a window.
+/// Returns the number of loads that may begin within a window.
 fn allowed(spec: &EngineSpec, ceiling: LoadCeiling) -> usize {
     let per_window = spec.loads_per_second * ceiling.window.as_secs_f64() * ceiling.over;
     let allowed = per_window + ceiling.slack - CEILING_MARGIN;
