--- a/crates/limehollow/src/order_book.rs
+++ b/crates/limehollow/src/order_book.rs
@@ -1,39 +1,39 @@
-//! What the controller knows of one endpoint, from its report and the orders since.
+//! Tracks the controller's view of one endpoint, from its last report and the orders since.
 //!
-//! An order names the number of orders that the endpoint has taken, so an order that rests on an outdated
-//! book is void there. What gateways believe of an endpoint may be wrong for a while; room is reckoned
-//! from the book alone.
+//! An order contains the number of orders that the endpoint has executed, so an order based on an outdated book
+//! is void at the endpoint. What gateways assume about an endpoint may be wrong for a while; free capacity is
+//! computed only from the book.
 
 use crate::catalog::EngineSpec;
 use crate::late_loads::Reserve;
 use crate::rebalance::{AdapterMove, EndpointReport, used};
 use crate::roster::{Holdings, ModelRef, holds};
 
-/// An endpoint as its last report and the orders since leave it.
+/// The state of an endpoint after its last report and the orders since.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrderBook {
-    /// How many orders it has taken.
+    /// The number of orders that the endpoint has executed.
     pub orders_taken: u64,
-    /// What it holds.
+    /// The models and adapters that the endpoint holds.
     pub holdings: Holdings,
-    /// Adapters that were on their way when it reported.
+    /// The number of adapters being loaded when the endpoint reported.
     coming: usize,
-    /// Whether it was carrying out an order on a model.
+    /// Whether the endpoint was executing an order for a model.
     busy: bool,
-    /// When the endpoint started, as it reported.
+    /// The time at which the endpoint started, as it reported.
     pub born: Option<u64>,
 }
 
-/// The next thing to do for a move of an adapter.
+/// The next step of an adapter's move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdapterStep {
-    /// Order it to drop this adapter.
+    /// Order the endpoint to unload this adapter.
     Unload(ModelRef),
-    /// Order it to load the move's adapter.
+    /// Order the endpoint to load the adapter of the move.
     Load,
-    /// The adapter is there.
+    /// The endpoint holds the adapter.
     Done,
-    /// It can't be done: the model isn't there, the endpoint is busy, or there is no room.
+    /// The move can't be executed: the model isn't loaded, the endpoint is busy, or there is no room.
     Impossible,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl OrderBook {
-    /// Says what comes next for a move of an adapter.
+    /// Returns the next step of an adapter's move.
     #[must_use]
     pub fn adapter_step(
         &self,
@@ -79,8 +79,8 @@
         evict.map_or(AdapterStep::Impossible, AdapterStep::Unload)
     }
 
-    /// Notes that an adapter was dropped or loaded. `counted` tells whether the endpoint counted the
-    /// order, which it doesn't where there was nothing to do.
+    /// Records that an adapter was loaded. `counted` is whether the endpoint counted the order; it doesn't
+    /// count one that had no effect.
     pub fn record_load(&mut self, m: &ModelRef, counted: bool) {
         self.orders_taken += u64::from(counted);
         if let (Some(h), Some(a)) = (self.holdings.get_mut(&m.model), &m.adapter) {
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Notes that an adapter was dropped, as [`OrderBook::record_load`] does.
+    /// Records that an adapter was unloaded, like [`OrderBook::record_load`].
     pub fn record_unload(&mut self, m: &ModelRef, counted: bool) {
         self.orders_taken += u64::from(counted);
         self.withdraw(m);
     }
 
-    /// Takes an adapter off what is told of the endpoint: it is about to go.
+    /// Removes an adapter from the reported holdings because it is about to be unloaded.
     pub fn withdraw(&mut self, m: &ModelRef) {
         if let (Some(h), Some(a)) = (self.holdings.get_mut(&m.model), &m.adapter) {
             h.adapters.remove(a);
