--- a/crates/limehollow/src/recent_answers.rs
+++ b/crates/limehollow/src/recent_answers.rs
@@ -1,33 +1,34 @@
-//! Which requests ran to their end lately.
+//! Tracks which requests completed recently.
 
 use crate::fingerprint::Fingerprint;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long a request that ran to its end can't be the cause of a crash: what is asked again and again, by many callers, runs on
-/// several endpoints that may crash together. What an endpoint runs well may crash it under a new version of the model, so it is
-/// no more than this.
+/// How long after its completion a request isn't considered the cause of a crash. A request that many callers
+/// repeat runs on several endpoints, which may crash at the same time for another reason. The time is limited
+/// because a request that an endpoint completes may crash it under a new version of the model.
 const ANSWER_LIFE: Duration = Duration::from_mins(1);
-/// Answers that are remembered at most: those of a minute at 68 a second, twice what a VM takes at the largest site.
+/// The maximum number of completions remembered: those of a minute at 68 per second, twice the rate of one VM
+/// at the largest site.
 const MAX_ANSWERS: usize = 4096;
 
-/// The requests that an endpoint ran to their end lately.
+/// The requests that one endpoint completed recently.
 #[derive(Debug, Default)]
 pub(crate) struct RecentAnswers {
-    /// In order; a request that ran several times is there as often.
+    /// The completions in order of time; a request that completed several times is contained several times.
     queue: VecDeque<(Instant, Fingerprint)>,
     last: BTreeMap<Fingerprint, Instant>,
 }
 
 impl RecentAnswers {
-    /// Tells whether a request ran to its end lately.
+    /// Returns `true` if a request completed recently.
     pub(crate) fn contains(&self, now: Instant, request: Fingerprint) -> bool {
         let at = self.last.get(&request);
         at.is_some_and(|t| now.saturating_duration_since(*t) < ANSWER_LIFE)
     }
 
-    /// Notes that a request ran to its end.
+    /// Records that a request completed.
     pub(crate) fn record(&mut self, now: Instant, request: Fingerprint) {
         self.queue.push_back((now, request));
         self.last.insert(request, now);
