--- a/crates/limehollow/src/retry.rs
+++ b/crates/limehollow/src/retry.rs
@@ -1,19 +1,19 @@
-//! Whether a failed attempt is tried again.
+//! Decides whether a failed attempt is retried.
 //!
-//! Three things bound retries: the verdict (a request that may not be repeated needs
-//! [`Verdict::NotRun`]), a budget that is a share of the traffic, so that an outage can't multiply
-//! the load, and the deadline (`docs/design/retries.md`).
+//! Retries are limited by the verdict (a request that must not be repeated needs [`Verdict::NotRun`]), by a
+//! budget that is a fraction of the traffic, so that an outage can't multiply the load, and by the deadline
+//! (`docs/design/retries.md`).
 
 use crate::verdict::{Failure, Verdict};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What each request adds to the budget, in thousandths of a retry.
+/// The amount that each request adds to the budget, in thousandths of a retry.
 pub const DEPOSIT: u32 = 100;
-/// The most that the budget can hold, in thousandths of a retry.
+/// The maximum balance of the budget, in thousandths of a retry.
 pub const MAX_BALANCE: u32 = 20_000;
-/// The most attempts at one request.
+/// The maximum number of attempts for one request.
 pub const MAX_ATTEMPTS: u32 = 4;
 const RETRY_COST: u32 = 1000;
 const BASE_PAUSE: Duration = Duration::from_millis(10);
@@ -21,14 +21,14 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// It is idempotent, as a completion is.
+    /// The request may be repeated: it is idempotent, as a completion is.
     #[default]
     Allowed,
-    /// It runs at most once.
+    /// The request has to run at most once.
     Never,
 }
 
-/// The retries that the traffic has paid for.
+/// A retry budget that is a fraction of the traffic.
 #[derive(Debug)]
 pub struct RetryBudget {
     balance: u32,
@@ -42,30 +42,30 @@
     }
 }
 
-/// What to do after a failed attempt.
+/// The decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another endpoint after this pause.
+    /// Retry at another endpoint after this delay.
     Retry(Duration),
-    /// Give the caller this verdict now.
+    /// Return this verdict to the caller.
     GiveUp(Verdict),
 }
 
-/// A request's attempts so far.
+/// The attempts made so far for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// When the caller stops waiting.
+    /// The time after which the caller no longer waits for the answer.
     pub deadline: Instant,
-    /// How many attempts were made.
+    /// The number of attempts made.
     pub made: u32,
-    /// What is known from all of them.
+    /// The combined verdict of all attempts.
     pub verdict: Verdict,
 }
 
 impl Attempts {
-    /// Starts with no attempt made.
+    /// Creates the state of a request before its first attempt.
     #[must_use]
     pub fn new(repeat: Repeat, deadline: Instant) -> Self {
         Self {
@@ -78,14 +78,14 @@
 }
 
 impl RetryBudget {
-    /// Notes a first attempt, which pays for a share of a retry.
+    /// Records a first attempt, which adds a fraction of a retry to the budget.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
     }
 
     /// Decides what follows a failed attempt.
     ///
-    /// `jitter` is a random number from 0 to 1 that spreads the pauses of many gateways.
+    /// `jitter` is a random number from 0 to 1 that spreads the delays of many gateways.
     pub fn after(
         &mut self,
         now: Instant,
