--- a/crates/limehollow/src/retry_window.rs
+++ b/crates/limehollow/src/retry_window.rs
@@ -1,29 +1,29 @@
-//! The budget for repeats that all gateways of a site share, over a sliding window.
+//! Limits repeated requests by a budget that all gateways of a site share, over a sliding window.
 //!
-//! A service may get no more repeats in any window than a share of its requests and a fixed slack.
-//! Gateways don't ask each other before a repeat: each spends from its own requests and from its
-//! part of the slack.
+//! Within any window a service may receive no more repeats than a fraction of its requests plus a fixed slack.
+//! Gateways don't coordinate a repeat: each one uses the fraction of its own requests and its share of the
+//! slack.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The part of the allowance that is spent; the rest is for counts that fall into another window at
-/// the endpoints than here.
+/// The fraction of the allowance that is used. The rest covers requests that the endpoints count in another
+/// window.
 const SAFETY: f64 = 0.7;
 
-/// What a site allows.
+/// The repeats that a site allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepeatAllowance {
-    /// Repeats per request.
+    /// The number of repeats per request.
     pub ratio: f64,
-    /// Repeats on top, over all gateways.
+    /// The number of additional repeats, over all gateways.
     pub slack: f64,
-    /// The window's length.
+    /// The length of the window.
     pub window: Duration,
 }
 
-/// What one gateway spent on one service.
+/// The requests and repeats of one gateway for one service.
 #[derive(Debug, Default)]
 pub struct RepeatWindow {
     requests: VecDeque<Instant>,
@@ -31,12 +31,13 @@
 }
 
 impl RepeatWindow {
-    /// Notes a request of a caller.
+    /// Records a request of a caller.
     pub fn request(&mut self, now: Instant) {
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat from the budget, if it has one. `gateways` is how many share the slack.
+    /// Acquires one repeat from the budget; returns `false` if there is none. `gateways` is the number of
+    /// gateways that share the slack.
     pub fn acquire(&mut self, now: Instant, rules: RepeatAllowance, gateways: usize) -> bool {
         let has = self.has_budget(now, rules, gateways);
         if has {
@@ -45,9 +46,9 @@
         has
     }
 
-    /// Tells whether the budget has a repeat left.
+    /// Returns `true` if the budget allows another repeat.
     pub fn has_budget(&mut self, now: Instant, rules: RepeatAllowance, gateways: usize) -> bool {
-        self.forget(now, rules.window);
+        self.drop_expired(now, rules.window);
         #[expect(
             clippy::cast_precision_loss,
             reason = "counts of some seconds are small"
@@ -61,7 +62,7 @@
         repeats + 1.0 <= allowed
     }
 
-    fn forget(&mut self, now: Instant, window: Duration) {
+    fn drop_expired(&mut self, now: Instant, window: Duration) {
         for times in [&mut self.requests, &mut self.repeats] {
             while times
                 .front()
