--- a/crates/limehollow/src/verdict.rs
+++ b/crates/limehollow/src/verdict.rs
@@ -1,27 +1,28 @@
-//! Whether a request may have run.
+//! Describes whether a request may have run.
 //!
-//! The retry rules and the answer to the caller both rest on this one type, so that no code path
-//! can tell a caller "not run" by guesswork (`docs/design/at-most-once.md`).
+//! The retry rules and the answer to the caller both use this type, so no code path can report "not run" to a
+//! caller without evidence (`docs/design/at-most-once.md`).
 
 use std::fmt;
 
-/// What is known about a request that has no result.
+/// What is known about a request without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// No byte of the request left, or the endpoint's protocol says that it refused before running.
+    /// The request did not run: no byte of it was sent, or the endpoint's protocol states that it was refused
+    /// beforehand.
     NotRun,
-    /// Anything else.
+    /// The request may have run.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// Joins the verdicts of several attempts of one request.
+    /// Combines the verdicts of several attempts of one request.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         self.max(other)
     }
 
-    /// Gives the value of the `x-limehollow-verdict` header.
+    /// Returns the value of the `x-limehollow-verdict` header.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -37,23 +38,23 @@
     }
 }
 
-/// What happened to one attempt at an endpoint.
+/// The failure of one attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The connection could not be made, so no byte left.
+    /// The connection could not be established, so no byte was sent.
     Connect,
-    /// The endpoint answered that it refuses before running.
+    /// The endpoint answered that it refused the request before running it.
     Refused,
-    /// The connection broke or fell silent after bytes had left.
+    /// The connection broke or stopped responding after bytes were sent.
     Broken,
-    /// The endpoint answered that it failed.
+    /// The endpoint answered with an error.
     ServerError,
-    /// The deadline passed while the endpoint was at work.
+    /// The deadline passed while the endpoint processed the request.
     Deadline,
 }
 
 impl Failure {
-    /// Gives what is known about the attempt's request.
+    /// Returns what is known about the attempt's request.
     #[must_use]
     pub fn verdict(self) -> Verdict {
         match self {
