--- a/crates/limehollow/src/load.rs
+++ b/crates/limehollow/src/load.rs
@@ -123,8 +123,8 @@
         self.ejected_until.is_some_and(|t| now < t)
     }
 
-    /// Returns `true` if the endpoint has to answer one request before it gets another, as is the case after an
-    /// ejection.
+    /// Returns `true` while the endpoint processes its only request after an ejection: it gets one at a time
+    /// until one succeeds.
     fn on_probation(&self) -> bool {
         self.ejected_until.is_some() && self.outstanding > 0
     }
