--- a/crates/limehollow/src/placement.rs
+++ b/crates/limehollow/src/placement.rs
@@ -1,8 +1,8 @@
-//! Turns an intent into a plan.
+//! Computes a plan for an intent.
 //!
-//! Placement keeps what is already there, spreads replicas over availability zones, leaves headroom
-//! for KV cache, and finds an order of steps that fits in memory at every instant and never takes
-//! the last replica of a model away (`docs/design/placement.md`).
+//! Placement keeps existing replicas where possible, spreads replicas over availability zones, reserves
+//! headroom for KV cache, and finds an order of steps that fits in memory at every point and never unloads the
+//! last replica of a model (`docs/design/placement.md`).
 
 use crate::error::{NoStepOrderSnafu, Result, UnsatisfiableSnafu};
 use crate::fleet::{Fleet, Presence, ReplicaState};
@@ -11,41 +11,40 @@
 use crate::plan::{AcceleratorRef, Action, MemoryUse, ModelVersion, Plan, Step, Target};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// An accelerator while a plan is made.
+/// An accelerator during planning.
 #[derive(Clone, Debug)]
 struct Slot {
     place: AcceleratorRef,
     zone: usize,
-    /// Memory that models may take once the plan is carried out, in bytes.
+    /// The memory that models may use after the plan, in bytes.
     budget: u64,
     capacity: u64,
-    /// What the plan has put here so far, in bytes.
+    /// The memory of the models that the plan has placed on the accelerator so far, in bytes.
     planned: u64,
-    /// New versions that the plan loads beside the old ones, in bytes.
+    /// The memory of new versions that the plan loads beside the old ones, in bytes.
     incoming: u64,
-    /// What is there or may be there now.
+    /// The replicas that are or may be on the accelerator now.
     present: Vec<Present>,
-    /// What stands here in the end: indices into the intent's models.
+    /// The models on the accelerator after the plan, as indices into the intent's models.
     targets: Vec<usize>,
 }
 
-/// What is there or may be there now.
+/// The replicas that are or may be on the accelerator now.
 #[derive(Clone, Debug)]
 struct Present {
     model: ModelVersion,
     bytes: u64,
     state: ReplicaState,
-    /// The base that it stands on, by what was confirmed when it was loaded: the new intent may not
-    /// name it any more.
+    /// The base model of an adapter, as confirmed when it was loaded: the new intent may no longer contain it.
     base: Option<ModelName>,
 }
 
 impl Slot {
-    fn room(&self) -> u64 {
+    fn free(&self) -> u64 {
         self.budget.saturating_sub(self.planned)
     }
 
-    /// Gives what is free as things stand, less what the plan loads beside an old version.
+    /// Returns the memory that is free now, less what the plan loads beside old versions.
     fn free_now(&self) -> u64 {
         let used: u64 = self.present.iter().map(|p| p.bytes).sum();
         self.capacity.saturating_sub(used + self.incoming)
@@ -56,18 +55,18 @@
     }
 }
 
-/// Makes a plan for an intent from the fleet's state.
+/// Computes a plan for an intent from the fleet's state.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Unsatisfiable`] says what is short, where, and what would mend it;
-/// [`crate::Error::NoStepOrder`] says which model could not be kept reachable on the way.
+/// Returns [`crate::Error::Unsatisfiable`] if the models don't fit, with what is missing and where;
+/// [`crate::Error::NoStepOrder`] if a model can't be kept reachable during the steps.
 pub fn plan(fleet: &Fleet, offset: Offset, intent: &Intent) -> Result<Plan> {
     intent.check()?;
-    let keeping = place(fleet, intent, true);
-    let placed = match keeping {
+    let kept = place(fleet, intent, true);
+    let placed = match kept {
         Ok(p) => p,
-        // What is there may be in the way of what is wanted: try again as if nothing were.
+        // Existing replicas may take memory that the intent needs: retry without keeping them.
         Err(_) => place(fleet, intent, false)?,
     };
     let steps = order_steps(&placed, intent, fleet)?;
@@ -87,10 +86,10 @@
     })
 }
 
-/// Gives the models whose targets differ, and the new targets of these.
+/// Returns the models whose targets differ, and the new targets of these models.
 ///
-/// At the size to come a plan that named every replica would be a megabyte and a half for a change to
-/// one model (`docs/CAPACITY.md`).
+/// At the target size, a plan that listed every replica would take a megabyte and a half for a change to one
+/// model (`docs/CAPACITY.md`).
 fn difference(old: &[Target], new: Vec<Target>) -> (Vec<ModelName>, Vec<Target>) {
     let mut by_model: BTreeMap<&ModelName, (Vec<&Target>, Vec<&Target>)> = BTreeMap::new();
     for t in old {
@@ -108,7 +107,7 @@
     (changed.into_iter().collect(), targets)
 }
 
-/// Gives the memory of each accelerator before, at the peak of, and after a plan.
+/// Returns the memory use of each accelerator before, at the peak of, and after a plan.
 #[must_use]
 pub fn memory_use(fleet: &Fleet, plan: &Plan) -> Vec<MemoryUse> {
     let mut rows: BTreeMap<AcceleratorRef, MemoryUse> = BTreeMap::new();
@@ -184,13 +183,13 @@
     if keep {
         keep_present(&mut placed, intent, &order, &mut counts);
     }
-    let mut by_room = RoomIndex::new(&placed);
+    let mut by_free = FreeMemoryIndex::new(&placed);
     for &m in &order {
         let wanted = usize::from(intent.models[m].replicas);
         while counts[m].total() < wanted {
             let base = intent.models[m].base.as_ref().map(|b| by_name[b]);
-            let slot = choose(&placed, &by_room, intent, m, base, &counts[m])?;
-            by_room.change(&mut placed, slot, |s| {
+            let slot = choose(&placed, &by_free, intent, m, base, &counts[m])?;
+            by_free.change(&mut placed, slot, |s| {
                 s.planned += intent.models[m].bytes;
                 s.targets.push(m);
             });
@@ -200,8 +199,8 @@
     Ok(placed)
 }
 
-/// Bases before adapters; within them the important first, then the large, since these are the
-/// hardest to fit.
+/// Returns the order in which models are placed: base models before adapters, then by priority, then larger
+/// models first, since these are the hardest to fit.
 fn placing_order(intent: &Intent) -> Vec<usize> {
     let mut order: Vec<usize> = (0..intent.models.len()).collect();
     order.sort_by_key(|&i| {
@@ -215,7 +214,7 @@
     order
 }
 
-/// How many replicas of a model each zone has been given.
+/// The number of replicas of one model placed in each zone.
 #[derive(Clone, Debug)]
 struct ZoneCounts(Vec<usize>);
 
@@ -274,8 +273,10 @@
     Placed { slots, zones }
 }
 
-/// Lets replicas that are there already stand, as many as are wanted, evenly over the zones. A new
-/// version goes where the old one is if both fit for a while, so that the adapters there can stay.
+/// Keeps existing replicas, up to the requested number, balanced over the zones.
+///
+/// A new version is placed where the old one is if both fit at the same time, so that the adapters there can
+/// stay.
 fn keep_present(placed: &mut Placed, intent: &Intent, order: &[usize], counts: &mut [ZoneCounts]) {
     let by_name: HashMap<&ModelName, usize> = intent
         .models
@@ -315,7 +316,7 @@
             at.swap_remove(i);
             let s = &mut placed.slots[slot];
             let swap_fits = !old || s.free_now() >= model.bytes;
-            if s.room() < model.bytes || s.targets.contains(&m) || !swap_fits {
+            if s.free() < model.bytes || s.targets.contains(&m) || !swap_fits {
                 continue;
             }
             s.incoming += if old { model.bytes } else { 0 };
@@ -326,14 +327,14 @@
     }
 }
 
-/// The accelerators of each zone, ordered by the room that the plan leaves on them.
-struct RoomIndex(Vec<BTreeSet<(u64, usize)>>);
+/// The accelerators of each zone, ordered by the memory that the plan leaves free on them.
+struct FreeMemoryIndex(Vec<BTreeSet<(u64, usize)>>);
 
-impl RoomIndex {
+impl FreeMemoryIndex {
     fn new(placed: &Placed) -> Self {
         let mut zones = vec![BTreeSet::new(); placed.zones.len()];
         for (i, s) in placed.slots.iter().enumerate() {
-            zones[s.zone].insert((s.room(), i));
+            zones[s.zone].insert((s.free(), i));
         }
         Self(zones)
     }
@@ -343,17 +344,17 @@
         F: FnOnce(&mut Slot),
     {
         let s = &mut placed.slots[slot];
-        self.0[s.zone].remove(&(s.room(), slot));
+        self.0[s.zone].remove(&(s.free(), slot));
         f(s);
-        self.0[s.zone].insert((s.room(), slot));
+        self.0[s.zone].insert((s.free(), slot));
     }
 }
 
-/// Chooses the accelerator for one more replica: in the zone with the fewest of this model, the one
-/// with the most room, on another endpoint than its siblings where that can be had.
+/// Chooses the accelerator for one more replica: in the zone with the fewest replicas of the model, the one
+/// with the most free memory, preferably on an endpoint without another replica of the model.
 fn choose(
     placed: &Placed,
-    by_room: &RoomIndex,
+    by_free: &FreeMemoryIndex,
     intent: &Intent,
     m: usize,
     base: Option<usize>,
@@ -364,20 +365,20 @@
     zones.sort_by_key(|&z| {
         (
             counts.0[z],
-            std::cmp::Reverse(by_room.0[z].last().map(|l| l.0)),
+            std::cmp::Reverse(by_free.0[z].last().map(|l| l.0)),
             z,
         )
     });
     for z in zones {
         let mut second = None;
-        let fitting = by_room.0[z]
+        let fitting = by_free.0[z]
             .iter()
             .rev()
-            .take_while(|(room, _)| *room >= bytes);
+            .take_while(|(free, _)| *free >= bytes);
         for &(_, i) in fitting {
             let s = &placed.slots[i];
-            let base_here = base.is_none_or(|b| s.targets.contains(&b));
-            if s.targets.contains(&m) || !base_here {
+            let has_base = base.is_none_or(|b| s.targets.contains(&b));
+            if s.targets.contains(&m) || !has_base {
                 continue;
             }
             if !sibling_on_endpoint(placed, i, m) {
@@ -392,8 +393,9 @@
     Err(unsatisfiable(placed, intent, m, base))
 }
 
-/// Tells whether the endpoint of a slot has the model on another accelerator. Slots of one endpoint
-/// stand next to each other.
+/// Returns `true` if the endpoint of a slot has the model on another accelerator.
+///
+/// The slots of one endpoint are adjacent.
 fn sibling_on_endpoint(placed: &Placed, slot: usize, m: usize) -> bool {
     let name = &placed.slots[slot].place.endpoint;
     let same = |s: &&Slot| s.place.endpoint == *name;
@@ -409,7 +411,7 @@
         .slots
         .iter()
         .filter(open)
-        .map(Slot::room)
+        .map(Slot::free)
         .max()
         .unwrap_or(0);
     let place = match &model.base {
@@ -429,40 +431,41 @@
     .build()
 }
 
-/// One accelerator while steps are put in order.
-struct Sim {
+/// The state of an accelerator while steps are ordered.
+struct SimulatedAccelerator {
     free: u64,
     loads: Vec<(ModelVersion, u64, Option<ModelName>)>,
     unloads: Vec<(ModelVersion, u64)>,
-    /// Models that are there, with the base of each adapter.
-    here: Vec<(ModelVersion, Option<ModelName>)>,
+    /// The models on the accelerator, with the base of each adapter.
+    loaded: Vec<(ModelVersion, Option<ModelName>)>,
 }
 
-impl Sim {
+impl SimulatedAccelerator {
     fn has_name(&self, name: &ModelName) -> bool {
-        self.here.iter().any(|(m, _)| m.name == *name)
+        self.loaded.iter().any(|(m, _)| m.name == *name)
     }
 }
 
-/// Puts the changes in an order: whatever fits is loaded, and only when nothing fits any more one
-/// unload makes room, never of a last replica.
+/// Orders the changes: every load that fits is done first; only when none fits, one model is unloaded per
+/// accelerator, never the last replica of a model.
 fn order_steps(placed: &Placed, intent: &Intent, fleet: &Fleet) -> Result<Vec<Step>> {
     let served: BTreeMap<&ModelName, &ModelIntent> =
         intent.models.iter().map(|m| (&m.name, m)).collect();
-    // What operators confirmed before stays reachable until this plan's own replicas are there.
+    // Models that operators confirmed earlier stay reachable until the replicas of this plan are ready.
     let mut ready: BTreeMap<ModelName, usize> = BTreeMap::new();
     for (_, _, m) in fleet.routable() {
         *ready.entry(m.name.clone()).or_default() += 1;
     }
-    let mut sims: Vec<Sim> = placed.slots.iter().map(|s| sim_of(s, intent)).collect();
+    let mut accelerators: Vec<SimulatedAccelerator> =
+        placed.slots.iter().map(|s| simulate(s, intent)).collect();
     let mut steps = Vec::new();
     loop {
         let mut progress = false;
-        for (slot, sim) in placed.slots.iter().zip(&mut sims) {
-            progress |= do_loads(placed, slot, sim, &mut ready, &mut steps);
+        for (slot, accelerator) in placed.slots.iter().zip(&mut accelerators) {
+            progress |= do_loads(placed, slot, accelerator, &mut ready, &mut steps);
         }
-        for (slot, sim) in placed.slots.iter().zip(&mut sims) {
-            progress |= do_unload(placed, slot, sim, &served, &mut ready, &mut steps);
+        for (slot, accelerator) in placed.slots.iter().zip(&mut accelerators) {
+            progress |= do_unload(placed, slot, accelerator, &served, &mut ready, &mut steps);
         }
         if !progress {
             break;
@@ -471,16 +474,16 @@
     let stuck = placed
         .slots
         .iter()
-        .zip(&sims)
+        .zip(&accelerators)
         .find(|(_, s)| !s.loads.is_empty() || !s.unloads.is_empty());
-    let Some((slot, sim)) = stuck else {
+    let Some((slot, accelerator)) = stuck else {
         return Ok(steps);
     };
-    let model = sim
+    let model = accelerator
         .loads
         .first()
         .map(|l| l.0.name.clone())
-        .or_else(|| sim.unloads.first().map(|u| u.0.name.clone()))
+        .or_else(|| accelerator.unloads.first().map(|u| u.0.name.clone()))
         .unwrap_or_else(|| "".into());
     NoStepOrderSnafu {
         model,
@@ -489,7 +492,7 @@
     .fail()
 }
 
-fn sim_of(slot: &Slot, intent: &Intent) -> Sim {
+fn simulate(slot: &Slot, intent: &Intent) -> SimulatedAccelerator {
     let targets: Vec<ModelVersion> = slot
         .targets
         .iter()
@@ -504,38 +507,38 @@
     loads.sort_by_key(|(m, _, base)| (base.is_some(), m.clone()));
     let leaving = slot.present.iter().filter(|p| !targets.contains(&p.model));
     let unloads = leaving.map(|p| (p.model.clone(), p.bytes)).collect();
-    let here = slot
+    let loaded = slot
         .present
         .iter()
         .map(|p| (p.model.clone(), p.base.clone()))
         .collect();
-    Sim {
+    SimulatedAccelerator {
         free: slot.capacity.saturating_sub(used),
         loads,
         unloads,
-        here,
+        loaded,
     }
 }
 
 fn do_loads(
     placed: &Placed,
     slot: &Slot,
-    sim: &mut Sim,
+    accelerator: &mut SimulatedAccelerator,
     ready: &mut BTreeMap<ModelName, usize>,
     steps: &mut Vec<Step>,
 ) -> bool {
     let mut progress = false;
     let mut i = 0;
-    while i < sim.loads.len() {
-        let (model, bytes, base) = sim.loads[i].clone();
-        let base_here = base.as_ref().is_none_or(|b| sim.has_name(b));
-        if bytes > sim.free || !base_here {
+    while i < accelerator.loads.len() {
+        let (model, bytes, base) = accelerator.loads[i].clone();
+        let has_base = base.as_ref().is_none_or(|b| accelerator.has_name(b));
+        if bytes > accelerator.free || !has_base {
             i += 1;
             continue;
         }
-        sim.loads.remove(i);
-        sim.free -= bytes;
-        sim.here.push((model.clone(), base));
+        accelerator.loads.remove(i);
+        accelerator.free -= bytes;
+        accelerator.loaded.push((model.clone(), base));
         *ready.entry(model.name.clone()).or_default() += 1;
         steps.push(step(placed, slot, Action::Load, model, bytes));
         progress = true;
@@ -546,25 +549,29 @@
 fn do_unload(
     placed: &Placed,
     slot: &Slot,
-    sim: &mut Sim,
+    accelerator: &mut SimulatedAccelerator,
     served: &BTreeMap<&ModelName, &ModelIntent>,
     ready: &mut BTreeMap<ModelName, usize>,
     steps: &mut Vec<Step>,
 ) -> bool {
-    let can = sim.unloads.iter().position(|(m, _)| {
+    let candidate = accelerator.unloads.iter().position(|(m, _)| {
         let others = ready.get(&m.name).copied().unwrap_or(0);
-        let same_name = sim.here.iter().filter(|(h, _)| h.name == m.name).count();
-        let carries = sim
-            .here
+        let same_name = accelerator
+            .loaded
+            .iter()
+            .filter(|(h, _)| h.name == m.name)
+            .count();
+        let has_adapters = accelerator
+            .loaded
             .iter()
             .any(|(_, base)| base.as_ref() == Some(&m.name));
         let reachable = !served.contains_key(&m.name) || others > 1;
-        reachable && (!carries || same_name > 1)
+        reachable && (!has_adapters || same_name > 1)
     });
-    let Some(i) = can else { return false };
-    let (model, bytes) = sim.unloads.remove(i);
-    sim.free += bytes;
-    sim.here.retain(|(m, _)| *m != model);
+    let Some(i) = candidate else { return false };
+    let (model, bytes) = accelerator.unloads.remove(i);
+    accelerator.free += bytes;
+    accelerator.loaded.retain(|(m, _)| *m != model);
     if let Some(n) = ready.get_mut(&model.name) {
         *n = n.saturating_sub(1);
     }
