--- a/crates/limehollow/src/rebalance.rs
+++ b/crates/limehollow/src/rebalance.rs
@@ -1,9 +1,9 @@
-//! Which model is loaded where next, as demand moves.
+//! Decides which models and adapters are loaded where as demand changes.
 //!
-//! Demand is told in work a second. Each model's work spreads over its replicas, and an endpoint's load
-//! is the sum over what it holds. `models` weighs where another replica is worth most, `adapters` where an
-//! adapter goes; this module keeps demand, what is under way, and the weight store's ceiling
-//! (`docs/design/system.md`).
+//! Demand is reported in work per second. Each model's work is divided over its replicas, and an endpoint's
+//! load is the sum over the models that it holds. `models` decides where another replica is worth most and
+//! `adapters` where an adapter is loaded; this module tracks demand, moves in progress and the rate limit of
+//! the weight store (`docs/design/system.md`).
 
 use crate::catalog::EngineSpec;
 use crate::id::{EndpointKey, ServiceName};
@@ -20,91 +20,93 @@
 mod recent;
 mod table;
 
-use models::Weighing;
-use recent::Recent;
+use models::MoveEvaluation;
+use recent::RecentRates;
 use table::{ModelIx, Table};
 
-/// The load above which a model's replicas are too few, in ms of work a second.
+/// The load above which a model has too few replicas, in ms of work per second.
 pub const HIGH_LOAD: f64 = 350.0;
-/// How long a replica stays at least, so that a swing of demand doesn't move it twice.
+/// The minimum time for which a replica stays loaded, so that a swing of demand doesn't move it twice.
 const MIN_STAY: Duration = Duration::from_secs(5);
-/// For how long after a load an endpoint gets no other model while adapters of those that it holds are missing: its places
-/// for them are filled in half of that, and while it loads a model it takes none.
+/// How long after a load an endpoint gets no other model while adapters of its models are missing: its adapter
+/// slots are filled in half of that time, and it accepts no adapter while it loads a model.
 const ADAPTERS_FIRST: Duration = Duration::from_secs(1);
-/// How long an endpoint whose move failed gets no other.
-const FAILED_REST: Duration = Duration::from_secs(3);
-/// The same for a move of an adapter: a report is as of some hundred ms ago.
-const ADAPTER_FAILED_REST: Duration = Duration::from_millis(250);
-/// How far demand is foreseen from its present trend, in units of the smoothing's time constant.
-const FORESIGHT: f64 = 1.0;
-/// The time constant of the slower rates, which adapters go by: a few requests a minute say little in
-/// a second.
+/// How long an endpoint gets no other move after a failed one.
+const FAILED_BACKOFF: Duration = Duration::from_secs(3);
+/// How long an endpoint gets no other adapter move after a failed one. It is short because a report is some
+/// hundred ms old.
+const ADAPTER_FAILED_BACKOFF: Duration = Duration::from_millis(250);
+/// How far demand is extrapolated from its present trend, in units of the smoothing's time constant.
+const TREND_FACTOR: f64 = 1.0;
+/// The time constant of the slower rates, which are used for adapters, in seconds: a few requests per minute
+/// can't be measured within a second.
 const SLOW_S: f64 = 5.0;
-/// Moves that one plan begins at most; the next plan is a fraction of a second later, and sees what these change.
+/// The maximum number of moves that one plan begins. The next plan follows a fraction of a second later and
+/// includes their effect.
 const MAX_MOVES: usize = 16;
-/// What the weight store allows beyond its rate.
+/// The rate limit of the weight store, relative to its configured rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadCeiling {
-    /// The window in which loads are counted.
+    /// The length of the sliding window in which loads are counted.
     pub window: Duration,
-    /// The factor on the rate.
+    /// The factor by which the rate is multiplied.
     pub over: f64,
-    /// Loads on top.
+    /// The number of additional loads.
     pub slack: f64,
 }
 
-/// A model that takes the place of others on an endpoint.
+/// A load of a model on an endpoint, after unloading others if necessary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelMove {
     /// The model to load.
     pub load: SmolStr,
-    /// The models that make way, in this order.
+    /// The models to unload, in this order.
     pub evict: Vec<SmolStr>,
 }
 
-/// An adapter that is loaded on an endpoint, perhaps in the place of another.
+/// A load of an adapter on an endpoint, after unloading another one if necessary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdapterMove {
     /// The adapter to load.
     pub load: ModelRef,
-    /// The adapter that makes way.
+    /// The adapter to unload.
     pub evict: Option<ModelRef>,
 }
 
-/// What an endpoint said of itself.
+/// An endpoint's report of its own state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointReport {
-    /// When the endpoint started, by its own clock ([`crate::instance::Instance::born`]).
+    /// The time at which the endpoint started, by its own clock ([`crate::instance::Instance::born`]).
     pub born: Option<u64>,
-    /// How many orders it has taken.
+    /// The number of orders that the endpoint has executed.
     pub orders_taken: u64,
-    /// Whether it is carrying out an order on a model.
+    /// Whether the endpoint is executing an order for a model.
     pub busy: bool,
-    /// What it holds.
+    /// The models and adapters that the endpoint holds.
     pub holdings: Holdings,
-    /// The models of which it has a copy at hand; a load of another one comes from the weight store.
+    /// The models of which the endpoint has a local copy; others are loaded from the weight store.
     pub copies: BTreeSet<SmolStr>,
-    /// Adapters on their way to it, which take their places already.
+    /// The number of adapters being loaded, which already occupy slots.
     pub coming: usize,
 }
 
-/// The next thing to do for a move.
+/// The next step of a move.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Order it to unload this model.
+    /// Order the endpoint to unload this model.
     Unload(SmolStr),
-    /// Order it to load the move's model.
+    /// Order the endpoint to load the model of the move.
     Load,
-    /// Ask again later.
+    /// Wait until the endpoint has finished its present order.
     Wait,
-    /// The model is there.
+    /// The endpoint holds the model.
     Done,
-    /// It can't be done: even without all that was to make way there is no room.
+    /// The move can't be executed: there is no room even after all unloads.
     NoRoom,
 }
 
 impl ModelMove {
-    /// Says what comes next, from a report that counts all orders given so far.
+    /// Returns the next step, given a report that includes all orders issued so far.
     #[must_use]
     pub fn step(&self, r: &EndpointReport, spec: &EngineSpec, reserve: Reserve) -> Step {
         if r.busy {
@@ -123,7 +125,7 @@
     }
 }
 
-/// Counts the replicas of each model.
+/// Returns the number of replicas of each model.
 fn replicas_of(roster: &Roster, service: &ServiceName) -> BTreeMap<SmolStr, usize> {
     let mut out: BTreeMap<SmolStr, usize> = BTreeMap::new();
     for model in roster.open(service).flat_map(|(_, e)| e.holdings.keys()) {
@@ -132,7 +134,7 @@
     out
 }
 
-/// Gives the megabytes that an endpoint's models and adapters take.
+/// Returns the memory that an endpoint's models and adapters use, in megabytes.
 #[must_use]
 pub fn used(holdings: &Holdings, spec: &EngineSpec) -> f64 {
     let size = |(name, held): (&SmolStr, &crate::roster::Held)| {
@@ -147,57 +149,58 @@
     holdings.iter().map(size).sum()
 }
 
-/// What a plan starts from.
+/// The demand and load from which a plan is computed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadsSeen {
-    /// Each model that is asked for: its demand in ms of work a second, and its replicas.
+    /// The models with demand: name, demand in ms of work per second, and number of replicas.
     pub models: Vec<(SmolStr, f64, f64)>,
-    /// The endpoints' loads in ms of work a second, the lowest first.
+    /// The endpoints' loads in ms of work per second, lowest first.
     pub endpoints: Vec<f64>,
 }
 
-/// Chooses the moves of one service's endpoints.
+/// Chooses the moves of models and adapters for the endpoints of one service.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
     fast: BTreeMap<SmolStr, f64>,
     trend: BTreeMap<SmolStr, f64>,
     slow: BTreeMap<ModelRef, f64>,
-    /// How often models have been asked for over longer times.
-    recent: Recent,
+    /// The demand for models over longer times.
+    recent: RecentRates,
     observed: Option<Instant>,
     moves: BTreeMap<EndpointKey, ModelMove>,
-    /// What each adapter was last told to be asked for, and when that last rose: a request for it came then.
-    told: BTreeMap<ModelRef, f64>,
-    asked: BTreeMap<ModelRef, Instant>,
-    /// Since when adapters have been asked for that are nowhere.
+    /// The last reported rate of each adapter.
+    last_rates: BTreeMap<ModelRef, f64>,
+    /// The time at which the rate of each adapter last rose, which shows a request for it.
+    requested: BTreeMap<ModelRef, Instant>,
+    /// The time since which each adapter has been requested without being loaded on any endpoint.
     missing: BTreeMap<ModelRef, Instant>,
-    /// Adapters that were loaded lately, and when that began.
+    /// The adapters that were loaded recently, and when each load began.
     fresh: BTreeMap<(EndpointKey, ModelRef), Instant>,
-    /// Adapters on their way.
+    /// The adapters being loaded.
     coming: BTreeMap<EndpointKey, ModelRef>,
     loaded: BTreeMap<(EndpointKey, SmolStr), Instant>,
-    /// When endpoints last ended a model's move well.
+    /// The time at which each endpoint last completed a model's move.
     settled: BTreeMap<EndpointKey, Instant>,
-    /// Endpoints whose last move failed, and when.
+    /// The endpoints whose last move of a model failed, and when.
     failed: BTreeMap<EndpointKey, Instant>,
-    /// Endpoints whose last move of an adapter found nothing that could be done, and when.
+    /// The endpoints whose last move of an adapter failed, and when.
     adapter_failed: BTreeMap<EndpointKey, Instant>,
-    /// Loads from the weight store that were planned.
+    /// The planned loads from the weight store.
     loads: LoadWindow,
-    /// Endpoints that are listed but out of reach.
+    /// The endpoints that are listed but unreachable.
     lost: BTreeSet<EndpointKey>,
 }
 
 /// Queries.
 impl Rebalancer {
-    /// Gives what a plan would start from, for a log line.
+    /// Returns the demand and load from which a plan would be computed, for a log line.
     #[must_use]
     pub fn loads(&self, roster: &Roster, service: &ServiceName, spec: &EngineSpec) -> LoadsSeen {
         let t = Table::new(self, roster, service, spec);
         let models = t
             .models()
             .map(|m| (t.name(m).clone(), t.demand(m).round(), t.replicas(m)));
-        let mut endpoints: Vec<f64> = t.places().map(|(_, p)| p.load.round()).collect();
+        let mut endpoints: Vec<f64> = t.endpoints().map(|(_, p)| p.load.round()).collect();
         endpoints.sort_by(f64::total_cmp);
         LoadsSeen {
             models: models.filter(|(_, d, _)| *d >= 1.0).collect(),
@@ -205,22 +208,22 @@
         }
     }
 
-    /// Gives a model's demand as it is foreseen, in ms of work a second.
+    /// Returns a model's extrapolated demand, in ms of work per second.
     fn demand(&self, model: &str) -> f64 {
         let now = self.fast.get(model).copied().unwrap_or(0.0);
         let trend = self.trend.get(model).copied().unwrap_or(0.0);
-        now + trend.max(0.0) * FORESIGHT
+        now + trend.max(0.0) * TREND_FACTOR
     }
 
-    /// Tells whether an endpoint is to get adapters before it is ordered another model.
-    fn takes_adapters_first(&self, key: EndpointKey, e: &Endpoint, spec: &EngineSpec) -> bool {
+    /// Returns `true` if an endpoint has to get adapters before it is ordered to load another model.
+    fn needs_adapters_first(&self, key: EndpointKey, e: &Endpoint, spec: &EngineSpec) -> bool {
         let held: usize = e.holdings.values().map(|h| h.adapters.len()).sum();
         let has_place = held < spec.adapter_places;
         let is_missing = |m: &ModelRef| e.holdings.contains_key(&m.model);
         self.settled.contains_key(&key) && has_place && self.missing.keys().any(is_missing)
     }
 
-    /// Gives the endpoints that can be reached and take work.
+    /// Returns the endpoints that are reachable and accept requests.
     fn open<'r>(
         &'r self,
         roster: &'r Roster,
@@ -233,7 +236,7 @@
 
 /// Commands.
 impl Rebalancer {
-    /// Takes in the demand for each model and adapter, summed over all gateways.
+    /// Applies the demand for each model and adapter, summed over all gateways.
     pub fn observe(&mut self, now: Instant, demand: &BTreeMap<ModelRef, f64>) {
         let passed = self
             .observed
@@ -249,7 +252,7 @@
             *self.slow.entry(m.clone()).or_default() += d * weight;
         }
         self.slow.retain(|_, v| *v > 0.01);
-        // The difference to a slower rate is the trend over about the slower one's time constant.
+        // The difference to a slower rate is the trend over about the time constant of the slower rate.
         let mut slow: BTreeMap<&SmolStr, f64> = BTreeMap::new();
         for (m, d) in &self.slow {
             *slow.entry(&m.model).or_default() += d;
@@ -258,19 +261,21 @@
             let slow = slow.get(m).copied().unwrap_or(0.0);
             self.trend.insert(m.clone(), (d - slow) / SLOW_S);
         }
-        self.note_asked(now, demand);
+        self.record_requested(now, demand);
         self.trend.retain(|m, _| models.contains_key(m));
         self.recent.observe(now, &models);
         self.fast = models;
     }
 
-    /// Takes in which endpoints are listed but out of reach: what they hold has to be elsewhere, and they take no
-    /// orders. The list drops an endpoint that crashed three to five seconds later.
+    /// Sets the endpoints that are listed but unreachable: their models have to be loaded elsewhere, and they
+    /// get no orders.
+    ///
+    /// The list drops a crashed endpoint only three to five seconds later.
     pub fn observe_lost(&mut self, lost: BTreeSet<EndpointKey>) {
         self.lost = lost;
     }
 
-    /// Chooses the moves that begin now, and counts them as under way.
+    /// Chooses the moves that begin now, and records them as in progress.
     pub fn plan(
         &mut self,
         now: Instant,
@@ -283,13 +288,14 @@
         self.settled
             .retain(|_, t| now.duration_since(*t) < ADAPTERS_FIRST);
         self.failed
-            .retain(|_, t| now.duration_since(*t) < FAILED_REST);
-        self.recent.note_placement(|| replicas_of(roster, service));
+            .retain(|_, t| now.duration_since(*t) < FAILED_BACKOFF);
+        self.recent
+            .record_placement(|| replicas_of(roster, service));
         let mut table = Table::new(self, roster, service, spec);
         let mut out = Vec::new();
         while out.len() < MAX_MOVES {
             let left = self.loads.left(now, spec, ceiling);
-            let w = Weighing {
+            let w = MoveEvaluation {
                 rebalancer: self,
                 table: &table,
             };
@@ -300,7 +306,7 @@
             let Some(best) = w.best_move().or_else(|| w.spare_move(left, begun)) else {
                 break;
             };
-            let p = table.place(best.at);
+            let p = table.endpoint(best.at);
             let key = p.key;
             if !p.has_copy(best.load) {
                 self.loads.begin(now, ceiling);
@@ -318,7 +324,7 @@
         out
     }
 
-    /// Notes that a model's move has ended, well or not.
+    /// Records the end of a model's move; `is_done` is whether it succeeded.
     pub fn model_ended(&mut self, now: Instant, key: EndpointKey, is_done: bool) {
         self.moves.remove(&key);
         if is_done {
@@ -329,10 +335,10 @@
         }
     }
 
-    /// Notes that an adapter's move has ended, well or not.
+    /// Records the end of an adapter's move; `is_done` is whether it succeeded.
     ///
-    /// An endpoint where it could not be done gets no other for a moment: the plan rests on the list, and
-    /// would choose the same move again and again until the list has caught up.
+    /// An endpoint at which the move failed gets no other adapter for a moment: the plan is based on the list,
+    /// and would choose the same move repeatedly until the list is up to date.
     pub fn adapter_ended(&mut self, now: Instant, key: EndpointKey, is_done: bool) {
         self.coming.remove(&key);
         if is_done {
--- a/crates/limehollow/src/rebalance/adapters.rs
+++ b/crates/limehollow/src/rebalance/adapters.rs
@@ -1,11 +1,12 @@
-//! Where adapters are loaded.
+//! Chooses the endpoints on which adapters are loaded.
 //!
-//! Adapters load in some ms and their places are few. Those go first for which a caller waits, or is about to come
-//! back, the latest first: where places are short, a load in the order of asking comes after its caller has left. What makes
-//! way is idle, if anything is. Then those that are nowhere, by how much and how long they have been asked for; then those
-//! whose replicas carry much; then free places are filled before anybody asks.
+//! Adapters load in some ms, and the slots for them are few. Adapters for which a caller waits, or is about to
+//! retry, come first, the most recently requested ones before others: if slots are short, a load in order of
+//! arrival completes after its caller has left. An idle adapter is replaced if there is one. The next in order
+//! are adapters that aren't loaded on any endpoint, by their demand and the time for which they have been
+//! missing; then those whose replicas have a high load; then free slots are filled before any request.
 
-use super::{ADAPTER_FAILED_REST, AdapterMove, HIGH_LOAD, Rebalancer, used};
+use super::{ADAPTER_FAILED_BACKOFF, AdapterMove, HIGH_LOAD, Rebalancer, used};
 use crate::catalog::{EngineSpec, ModelSpec};
 use crate::id::{EndpointKey, ServiceName};
 use crate::roster::{ModelRef, Roster, holds};
@@ -15,28 +16,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An adapter gets another replica when one carries more than this, in ms of work a second.
+/// The load of one replica above which an adapter gets another one, in ms of work per second.
 const ADAPTER_HIGH: f64 = 150.0;
-/// An adapter whose replicas carry more than this is loaded into free places as well, so that its
-/// requests have a choice of endpoints; those that are missing go first.
+/// The load of one replica above which an adapter is also loaded into free slots, so that its requests have a
+/// choice of endpoints. Missing adapters are loaded first.
 const ADAPTER_SPREAD: f64 = 8.0;
-/// An adapter makes way for one that is wanted this many times more.
-const ADAPTER_EDGE: f64 = 1.5;
-/// What an adapter that has other replicas counts, when one has to make way.
+/// The factor by which the weight of a missing adapter has to exceed that of the adapter which it replaces.
+const REPLACE_FACTOR: f64 = 1.5;
+/// The factor on the weight of an adapter with other replicas, when one has to be replaced.
 const SPARE_ADAPTER: f64 = 0.2;
-/// How long an adapter stays at least, so that callers who were told to come back find it.
-const ADAPTER_STAY: Duration = Duration::from_millis(1500);
-/// For how long after a request for an adapter it is taken to be in use: as long as most streams run. One in use that is told to go
-/// does so when its last run ends, and keeps its endpoint from all other orders until then.
-const IN_USE_FOR: Duration = Duration::from_secs(3);
-/// For how long after a caller was last heard to wait for an adapter it is there, or about to come back.
-const CALLER_THERE_FOR: Duration = Duration::from_secs(1);
-/// How long an adapter that is asked for and nowhere waits until it counts twice as much. Adapters load in
-/// some ms, so one that is rarely asked for may take turns with others like it.
-const PATIENCE_S: f64 = 1.0;
+/// The minimum time for which an adapter stays loaded, so that callers who were asked to retry find it.
+const MIN_ADAPTER_STAY: Duration = Duration::from_millis(1500);
+/// How long after a request an adapter is considered in use: as long as most streams run. An adapter in use
+/// that is ordered to unload does so when its last stream ends, and blocks all other orders at its endpoint
+/// until then.
+const IN_USE_TIME: Duration = Duration::from_secs(3);
+/// How long after the last report of a waiting caller it is assumed to be waiting, or about to retry.
+const CALLER_WAIT_TIME: Duration = Duration::from_secs(1);
+/// The time after which the weight of a missing adapter has doubled, in seconds. Adapters load in some ms, so
+/// several rarely requested adapters can alternate in one slot.
+const DOUBLE_WEIGHT_AFTER_S: f64 = 1.0;
 
 impl Rebalancer {
-    /// Counts the replicas of each adapter that is somewhere.
+    /// Returns the number of replicas of each adapter that is loaded on any endpoint.
     fn adapter_replicas(
         &self,
         roster: &Roster,
@@ -57,11 +59,11 @@
         out
     }
 
-    /// Chooses where adapters are loaded that are asked for and not there, or not often enough, and
-    /// counts them as on their way.
+    /// Chooses where missing adapters and those with too few replicas are loaded, and records the loads as in
+    /// progress.
     ///
-    /// `waited_for` says what callers wait for and when that was last heard, `resting` whether an endpoint can take an order on
-    /// an adapter now.
+    /// `waited_for` holds the adapters for which callers wait, with the time of the last report; `can_take_order`
+    /// returns `true` if an endpoint can execute an order for an adapter now.
     pub fn plan_adapters<F>(
         &mut self,
         now: Instant,
@@ -69,25 +71,25 @@
         service: &ServiceName,
         spec: &EngineSpec,
         waited_for: &BTreeMap<ModelRef, Instant>,
-        resting: F,
+        can_take_order: F,
     ) -> Vec<(EndpointKey, AdapterMove)>
     where
         F: Fn(EndpointKey) -> bool,
     {
         let replicas = self.adapter_replicas(roster, service);
         self.fresh
-            .retain(|_, t| now.duration_since(*t) < ADAPTER_STAY);
+            .retain(|_, t| now.duration_since(*t) < MIN_ADAPTER_STAY);
         self.adapter_failed
-            .retain(|_, t| now.duration_since(*t) < ADAPTER_FAILED_REST);
-        let is_there = |t: &Instant| now.duration_since(*t) < CALLER_THERE_FOR;
+            .retain(|_, t| now.duration_since(*t) < ADAPTER_FAILED_BACKOFF);
+        let is_there = |t: &Instant| now.duration_since(*t) < CALLER_WAIT_TIME;
         let waited_for: BTreeMap<&ModelRef, Instant> = waited_for
             .iter()
             .filter(|(_, t)| is_there(t))
             .map(|(m, t)| (m, *t))
             .collect();
-        self.note_missing(now, &replicas);
-        let wanted = self.wanted_adapters(now, &replicas, &waited_for);
-        let weighing = AdapterWeighing {
+        self.record_missing(now, &replicas);
+        let to_load = self.adapters_to_load(now, &replicas, &waited_for);
+        let placement = AdapterPlacement {
             rebalancer: self,
             roster,
             service,
@@ -96,14 +98,14 @@
             waited_for: &waited_for,
         };
         let failed = &self.adapter_failed;
-        let resting = |k: EndpointKey| resting(k) && !failed.contains_key(&k);
+        let can_take_order = |k: EndpointKey| can_take_order(k) && !failed.contains_key(&k);
         let mut out: Vec<(EndpointKey, AdapterMove)> = Vec::new();
-        for (m, urgency) in wanted {
-            let free = |k: EndpointKey| resting(k) && out.iter().all(|(o, _)| *o != k);
-            out.extend(weighing.place(m, urgency, free));
+        for (m, urgency) in to_load {
+            let free = |k: EndpointKey| can_take_order(k) && out.iter().all(|(o, _)| *o != k);
+            out.extend(placement.place(m, urgency, free));
         }
         let taken: BTreeSet<EndpointKey> = out.iter().map(|(k, _)| *k).collect();
-        out.extend(weighing.fill(|k| resting(k) && !taken.contains(&k)));
+        out.extend(placement.fill(|k| can_take_order(k) && !taken.contains(&k)));
         for (key, m) in &out {
             self.coming.insert(*key, m.load.clone());
             self.fresh.insert((*key, m.load.clone()), now);
@@ -111,31 +113,31 @@
         out
     }
 
-    /// Takes in which adapters were asked for since the last time: rates fall but for requests.
-    pub(super) fn note_asked(&mut self, now: Instant, demand: &BTreeMap<ModelRef, f64>) {
-        self.asked
-            .retain(|_, t| now.duration_since(*t) < IN_USE_FOR);
+    /// Records which adapters were requested since the last call: without a request, a rate only falls.
+    pub(super) fn record_requested(&mut self, now: Instant, demand: &BTreeMap<ModelRef, f64>) {
+        self.requested
+            .retain(|_, t| now.duration_since(*t) < IN_USE_TIME);
         let adapters = demand.iter().filter(|(m, _)| m.adapter.is_some());
         for (m, d) in adapters.clone() {
-            if self.told.get(m).is_none_or(|before| d > before) {
-                self.asked.insert(m.clone(), now);
+            if self.last_rates.get(m).is_none_or(|before| d > before) {
+                self.requested.insert(m.clone(), now);
             }
         }
-        self.told = adapters.map(|(m, d)| (m.clone(), *d)).collect();
+        self.last_rates = adapters.map(|(m, d)| (m.clone(), *d)).collect();
     }
 
-    /// Gives the adapters that are to be loaded, the most urgent first.
-    fn wanted_adapters<'r>(
+    /// Returns the adapters to be loaded, most urgent first.
+    fn adapters_to_load<'r>(
         &'r self,
         now: Instant,
         replicas: &BTreeMap<ModelRef, usize>,
         waited_for: &BTreeMap<&'r ModelRef, Instant>,
     ) -> Vec<(&'r ModelRef, Urgency)> {
-        let nowhere = waited_for.iter().filter(|(m, _)| {
+        let missing = waited_for.iter().filter(|(m, _)| {
             let is_coming = self.coming.values().any(|c| c == **m);
             m.adapter.is_some() && !is_coming && !replicas.contains_key(**m)
         });
-        let mut out: Vec<(&ModelRef, Urgency)> = nowhere
+        let mut out: Vec<(&ModelRef, Urgency)> = missing
             .map(|(m, t)| (*m, Urgency::CallerWaits(*t)))
             .collect();
         for (m, demand) in self.slow.iter().filter(|(m, _)| m.adapter.is_some()) {
@@ -155,14 +157,14 @@
         out
     }
 
-    /// Gives how much an adapter is wanted that is nowhere, by how much and how long it has been asked for.
+    /// Returns the weight of a missing adapter, from its demand and the time for which it has been missing.
     fn weight(&self, now: Instant, m: &ModelRef) -> f64 {
         let demand = self.slow.get(m).copied().unwrap_or(0.0);
         let since = self.missing.get(m).map(|t| now.duration_since(*t));
-        demand * (1.0 + since.unwrap_or_default().as_secs_f64() / PATIENCE_S)
+        demand * (1.0 + since.unwrap_or_default().as_secs_f64() / DOUBLE_WEIGHT_AFTER_S)
     }
 
-    fn note_missing(&mut self, now: Instant, replicas: &BTreeMap<ModelRef, usize>) {
+    fn record_missing(&mut self, now: Instant, replicas: &BTreeMap<ModelRef, usize>) {
         let slow = &self.slow;
         self.missing
             .retain(|m, _| slow.contains_key(m) && !replicas.contains_key(m));
@@ -174,23 +176,23 @@
     }
 }
 
-/// How urgently an adapter is wanted.
+/// The urgency of loading an adapter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Urgency {
-    /// A caller waits for it, or comes back; when that was last heard.
+    /// A caller waits for the adapter or is about to retry; holds the time of the last report.
     CallerWaits(Instant),
-    /// It is nowhere, or has too few replicas; by demand, and by how long it has been nowhere.
+    /// The adapter isn't loaded or has too few replicas; holds its weight.
     Missed(f64),
-    /// Another replica would give its requests a choice; by the demand for one.
+    /// Another replica would give the adapter's requests a choice of endpoints; holds the demand per replica.
     Spread(f64),
 }
 
 impl Urgency {
-    /// Tells whether one that is worth so much makes way for it.
+    /// Returns `true` if an adapter with the weight `worth` may be replaced for this urgency.
     fn outweighs(self, worth: f64) -> bool {
         match self {
             Self::CallerWaits(_) => true,
-            Self::Missed(weight) => worth * ADAPTER_EDGE <= weight,
+            Self::Missed(weight) => worth * REPLACE_FACTOR <= weight,
             Self::Spread(_) => false,
         }
     }
@@ -214,19 +216,19 @@
     }
 }
 
-/// One weighing of all places for adapters.
-struct AdapterWeighing<'a> {
+/// The inputs for choosing the endpoints of adapters.
+struct AdapterPlacement<'a> {
     rebalancer: &'a Rebalancer,
     roster: &'a Roster,
     service: &'a ServiceName,
     spec: &'a EngineSpec,
     replicas: &'a BTreeMap<ModelRef, usize>,
-    /// What callers wait for, and when that was last heard.
+    /// The adapters for which callers wait, with the time of the last report.
     waited_for: &'a BTreeMap<&'a ModelRef, Instant>,
 }
 
-impl AdapterWeighing<'_> {
-    /// Finds where an adapter is loaded best, among the endpoints for which the predicate holds.
+impl AdapterPlacement<'_> {
+    /// Finds the best endpoint for an adapter among those that match a predicate.
     fn place<F>(
         &self,
         m: &ModelRef,
@@ -247,16 +249,17 @@
             if !has_model || holds(&e.holdings, m) {
                 continue;
             }
-            let there = e.holdings.iter();
-            let there = there.flat_map(|(n, h)| h.adapters.iter().map(move |a| (n, a)));
-            let there: Vec<(f64, ModelRef)> = there.map(|(n, a)| self.worth(n, a)).collect();
-            let load: f64 = there.iter().map(|(d, _)| d).sum();
-            let is_full = there.len() >= self.spec.adapter_places
+            let loaded = e.holdings.iter();
+            let loaded = loaded.flat_map(|(n, h)| h.adapters.iter().map(move |a| (n, a)));
+            let loaded: Vec<(f64, ModelRef)> = loaded.map(|(n, a)| self.worth(n, a)).collect();
+            let load: f64 = loaded.iter().map(|(d, _)| d).sum();
+            let is_full = loaded.len() >= self.spec.adapter_places
                 || used(&e.holdings, self.spec) + size > self.spec.megabytes;
-            let may_go = there.into_iter().filter(|(_, r)| self.may_go(key, r));
-            let may_go = may_go.map(|(d, r)| (self.rebalancer.asked.contains_key(&r), d, r));
-            let least = may_go.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-            // One that makes way is dearer than a free place.
+            let can_unload = loaded.into_iter().filter(|(_, r)| self.can_unload(key, r));
+            let can_unload =
+                can_unload.map(|(d, r)| (self.rebalancer.requested.contains_key(&r), d, r));
+            let least = can_unload.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+            // Replacing an adapter costs more than using a free slot.
             let (cost, evict) = match least {
                 _ if !is_full => (load, None),
                 Some((_, d, r)) if urgency.outweighs(d) => (load + d + HIGH_LOAD, Some(r)),
@@ -271,15 +274,16 @@
         Some((key, AdapterMove { load, evict }))
     }
 
-    /// Tells whether an adapter may make way at an endpoint: it has been there for a while, and no caller waits for it.
-    fn may_go(&self, at: EndpointKey, m: &ModelRef) -> bool {
+    /// Returns `true` if an adapter may be unloaded from an endpoint: it has been loaded for a while, and no
+    /// caller waits for it or it has other replicas.
+    fn can_unload(&self, at: EndpointKey, m: &ModelRef) -> bool {
         let is_fresh = self.rebalancer.fresh.contains_key(&(at, m.clone()));
         let is_spare = self.replicas.get(m).is_some_and(|n| *n > 1);
         !is_fresh && (is_spare || !self.waited_for.contains_key(m))
     }
 
-    /// Fills free places with adapters that are nowhere, before they are asked for: they load in some ms,
-    /// but a request that finds none waits for that and for the order.
+    /// Fills free slots with adapters that aren't loaded on any endpoint, before they are requested: they load
+    /// in some ms, but a request for a missing one waits for the load and for the order.
     fn fill<F>(&self, free: F) -> Vec<(EndpointKey, AdapterMove)>
     where
         F: Fn(EndpointKey) -> bool,
@@ -291,8 +295,8 @@
             .open(self.roster, self.service)
             .filter(|(k, _)| free(*k))
         {
-            let there: usize = e.holdings.values().map(|h| h.adapters.len()).sum();
-            if there >= self.spec.adapter_places {
+            let loaded: usize = e.holdings.values().map(|h| h.adapters.len()).sum();
+            if loaded >= self.spec.adapter_places {
                 continue;
             }
             let specs = e.holdings.keys().filter_map(|m| self.spec.models.get(m));
@@ -315,7 +319,7 @@
         out
     }
 
-    /// Gives how much an adapter is wanted at one of the endpoints that have it.
+    /// Returns the weight of an adapter at one of the endpoints that hold it.
     fn worth(&self, model: &SmolStr, adapter: &SmolStr) -> (f64, ModelRef) {
         let m = ModelRef {
             model: model.clone(),
--- a/crates/limehollow/src/rebalance/table.rs
+++ b/crates/limehollow/src/rebalance/table.rs
@@ -1,8 +1,8 @@
-//! What one weighing of models starts from, in arenas.
+//! The models and endpoints of one evaluation of moves, in arrays.
 //!
-//! A weighing compares every model with every endpoint, several times a second and for hundreds of both. Names
-//! become indices once, and each model knows its holders, so that the worth of a move is reckoned from the
-//! endpoints that it changes alone (`docs/design/placement.md`).
+//! An evaluation compares every model with every endpoint, several times per second and for hundreds of both.
+//! Names are mapped to indices once, and each model has a list of its holders, so the value of a move is
+//! computed only from the endpoints that it changes (`docs/design/placement.md`).
 
 use super::recent::RecentDemand;
 use super::{Rebalancer, used};
@@ -12,30 +12,30 @@
 use smol_str::SmolStr;
 use std::collections::HashMap;
 
-/// A model in a [`Table`].
+/// The index of a model in a [`Table`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ModelIx(usize);
 
-/// An endpoint in a [`Table`].
+/// The index of an endpoint in a [`Table`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct PlaceIx(usize);
+pub(super) struct EndpointIx(usize);
 
-/// An endpoint as a plan sees it: what it will hold once all moves under way are done.
+/// The state of an endpoint after all moves in progress.
 #[derive(Clone, Debug)]
-pub(super) struct Place {
+pub(super) struct EndpointState {
     pub(super) key: EndpointKey,
     pub(super) zone: ZoneName,
     pub(super) models: Vec<ModelIx>,
-    /// The models of which it has copies at hand.
+    /// The models of which the endpoint has a local copy.
     copies: Vec<ModelIx>,
     pub(super) free: f64,
     pub(super) moving: bool,
-    /// Whether it is to get adapters before it is ordered another model.
-    pub(super) takes_adapters_first: bool,
+    /// Whether the endpoint has to get adapters before it is ordered to load another model.
+    pub(super) needs_adapters_first: bool,
     pub(super) load: f64,
 }
 
-impl Place {
+impl EndpointState {
     pub(super) fn holds(&self, m: ModelIx) -> bool {
         self.models.contains(&m)
     }
@@ -50,35 +50,35 @@
     name: SmolStr,
     megabytes: f64,
     has_adapters: bool,
-    /// What a load from the weight store takes, in s.
+    /// The duration of a load from the weight store, in seconds.
     cold_load_s: f64,
-    /// Whether the configuration names it; what it doesn't name may only go.
+    /// Whether the configuration contains the model; other models may only be unloaded.
     is_served: bool,
     demand: f64,
-    /// What it has been asked for over longer times.
+    /// The demand for the model over longer times.
     recent: RecentDemand,
-    holders: Vec<PlaceIx>,
+    holders: Vec<EndpointIx>,
 }
 
-/// All models and endpoints of one weighing.
+/// All models and endpoints of one evaluation.
 #[derive(Debug)]
 pub(super) struct Table {
-    places: Vec<Place>,
+    endpoints: Vec<EndpointState>,
     rows: Vec<ModelRow>,
 }
 
 /// Queries.
 impl Table {
-    pub(super) fn places(&self) -> impl Iterator<Item = (PlaceIx, &Place)> {
-        let places = self.places.iter().enumerate();
-        places.map(|(i, p)| (PlaceIx(i), p))
+    pub(super) fn endpoints(&self) -> impl Iterator<Item = (EndpointIx, &EndpointState)> {
+        let endpoints = self.endpoints.iter().enumerate();
+        endpoints.map(|(i, p)| (EndpointIx(i), p))
     }
 
-    pub(super) fn place(&self, p: PlaceIx) -> &Place {
-        &self.places[p.0]
+    pub(super) fn endpoint(&self, p: EndpointIx) -> &EndpointState {
+        &self.endpoints[p.0]
     }
 
-    /// Gives the models that may be loaded, in the order of their names.
+    /// Returns the models that may be loaded, sorted by name.
     pub(super) fn models(&self) -> impl Iterator<Item = ModelIx> {
         let rows = self.rows.iter().enumerate();
         rows.filter(|(_, r)| r.is_served).map(|(i, _)| ModelIx(i))
@@ -92,7 +92,7 @@
         self.rows[m.0].megabytes
     }
 
-    /// Gives what a load from the weight store takes, in s.
+    /// Returns the duration of a load from the weight store, in seconds.
     pub(super) fn cold_load_s(&self, m: ModelIx) -> f64 {
         self.rows[m.0].cold_load_s
     }
@@ -101,35 +101,35 @@
         self.rows[m.0].has_adapters
     }
 
-    /// Gives a model's demand as it is foreseen, in ms of work a second.
+    /// Returns a model's extrapolated demand, in ms of work per second.
     pub(super) fn demand(&self, m: ModelIx) -> f64 {
         self.rows[m.0].demand
     }
 
-    /// Gives what a model will be asked for at most, in ms of work a second.
+    /// Returns the upper bound on the future demand for a model, in ms of work per second.
     pub(super) fn at_most(&self, m: ModelIx) -> f64 {
         self.rows[m.0].recent.at_most
     }
 
-    /// Gives what a model will be asked for at least, in ms of work a second.
+    /// Returns the lower bound on the future demand for a model, in ms of work per second.
     pub(super) fn at_least(&self, m: ModelIx) -> f64 {
         self.rows[m.0].recent.at_least
     }
 
-    /// Tells whether a model was asked for lately.
-    pub(super) fn is_asked(&self, m: ModelIx) -> bool {
-        self.rows[m.0].recent.is_asked
+    /// Returns `true` if a model was requested recently.
+    pub(super) fn is_requested(&self, m: ModelIx) -> bool {
+        self.rows[m.0].recent.is_requested
     }
 
-    /// Tells whether a model's replicas stand for demand that is still to come.
+    /// Returns `true` if a model's replicas indicate future demand.
     pub(super) fn is_expected(&self, m: ModelIx) -> bool {
         self.rows[m.0].recent.is_expected
     }
 
-    /// Gives the endpoints that hold a model.
-    pub(super) fn holders(&self, m: ModelIx) -> impl Iterator<Item = (PlaceIx, &Place)> {
+    /// Returns the endpoints that hold a model.
+    pub(super) fn holders(&self, m: ModelIx) -> impl Iterator<Item = (EndpointIx, &EndpointState)> {
         let holders = self.rows[m.0].holders.iter();
-        holders.map(|p| (*p, &self.places[p.0]))
+        holders.map(|p| (*p, &self.endpoints[p.0]))
     }
 
     #[expect(clippy::cast_precision_loss, reason = "a service has few endpoints")]
@@ -141,14 +141,14 @@
         self.rows[m.0].holders.len() == 1
     }
 
-    /// Gives what a replica of a model carries when there are so many more of them.
+    /// Returns the load of each replica of a model if it had `more` additional replicas.
     pub(super) fn share(&self, m: ModelIx, more: f64) -> f64 {
         self.demand(m) / (self.replicas(m) + more).max(1.0)
     }
 
-    /// Counts the endpoints that are being ordered.
+    /// Returns the number of endpoints that are executing orders.
     pub(super) fn moving(&self) -> usize {
-        self.places.iter().filter(|p| p.moving).count()
+        self.endpoints.iter().filter(|p| p.moving).count()
     }
 }
 
@@ -176,10 +176,10 @@
         };
         let served = names.rows.iter().enumerate();
         names.index = served.map(|(i, r)| (r.name.clone(), ModelIx(i))).collect();
-        let mut place = |(key, e): (EndpointKey, &Endpoint)| {
+        let mut endpoint = |(key, e): (EndpointKey, &Endpoint)| {
             let mut models: Vec<ModelIx> = e.holdings.keys().map(|m| names.index(m)).collect();
-            let under_way = rebalancer.moves.get(&key);
-            if let Some(m) = under_way {
+            let in_progress = rebalancer.moves.get(&key);
+            if let Some(m) = in_progress {
                 let evicted: Vec<ModelIx> = m.evict.iter().map(|m| names.index(m)).collect();
                 models.retain(|x| !evicted.contains(x));
                 let load = names.index(&m.load);
@@ -187,36 +187,39 @@
                     models.push(load);
                 }
             }
-            Place {
+            EndpointState {
                 key,
                 zone: e.zone.clone(),
                 models,
                 copies: e.copies.iter().map(|m| names.index(m)).collect(),
                 free: spec.megabytes - used(&e.holdings, spec),
-                moving: under_way.is_some()
+                moving: in_progress.is_some()
                     || rebalancer.coming.contains_key(&key)
                     || rebalancer.failed.contains_key(&key),
-                takes_adapters_first: rebalancer.takes_adapters_first(key, e, spec),
+                needs_adapters_first: rebalancer.needs_adapters_first(key, e, spec),
                 load: 0.0,
             }
         };
-        let places: Vec<Place> = rebalancer.open(roster, service).map(&mut place).collect();
+        let endpoints: Vec<EndpointState> = rebalancer
+            .open(roster, service)
+            .map(&mut endpoint)
+            .collect();
         let mut t = Self {
-            places,
+            endpoints,
             rows: names.rows,
         };
-        for (i, p) in t.places.iter().enumerate() {
+        for (i, p) in t.endpoints.iter().enumerate() {
             for m in &p.models {
-                t.rows[m.0].holders.push(PlaceIx(i));
+                t.rows[m.0].holders.push(EndpointIx(i));
             }
         }
         t.spread();
         t
     }
 
-    /// Counts a move as under way.
-    pub(super) fn begin(&mut self, at: PlaceIx, load: ModelIx, evict: &[ModelIx]) {
-        let p = &mut self.places[at.0];
+    /// Records a move as in progress.
+    pub(super) fn begin(&mut self, at: EndpointIx, load: ModelIx, evict: &[ModelIx]) {
+        let p = &mut self.endpoints[at.0];
         p.moving = true;
         p.models.retain(|m| !evict.contains(m));
         p.models.push(load);
@@ -227,25 +230,26 @@
         self.spread();
     }
 
-    /// Spreads each model's demand over its replicas.
+    /// Divides each model's demand over its replicas.
     fn spread(&mut self) {
         let shares: Vec<f64> = (0..self.rows.len())
             .map(|i| self.share(ModelIx(i), 0.0))
             .collect();
-        for p in &mut self.places {
+        for p in &mut self.endpoints {
             p.load = p.models.iter().map(|m| shares[m.0]).sum();
         }
     }
 }
 
-/// The models while a table is made.
+/// The index of models during the construction of a table.
 struct Names {
     rows: Vec<ModelRow>,
     index: HashMap<SmolStr, ModelIx>,
 }
 
 impl Names {
-    /// Gives the index of a model; one that the configuration doesn't name takes no room and isn't asked for.
+    /// Returns the index of a model. A model that the configuration doesn't contain gets a row without size and
+    /// demand.
     fn index(&mut self, name: &SmolStr) -> ModelIx {
         if let Some(m) = self.index.get(name) {
             return *m;
