--- a/crates/limehollow/tests/control_faults.rs
+++ b/crates/limehollow/tests/control_faults.rs
@@ -7,7 +7,7 @@
 
 use limehollow::intent::Intent;
 use std::time::Duration;
-use world::{Power, World, adapter, intent, model, what_is_open};
+use world::{ProcessState, World, adapter, describe_unfinished, intent, model};
 
 const CAPACITY: u64 = 60;
 
@@ -32,7 +32,7 @@
     ])
 }
 
-/// What goes wrong. Faults that last are ended by [`World::heal`].
+/// What goes wrong. Faults that last are ended by [`World::end_faults`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     HolderKilled,
@@ -42,7 +42,7 @@
     OrdersLost,
     OrderAnswersLost,
     OrdersLate,
-    OrdersDoubled,
+    OrdersDuplicated,
     AppendsLost,
     LogDown,
     ZoneCutFromPlatform,
@@ -62,7 +62,7 @@
     Fault::OrdersLost,
     Fault::OrderAnswersLost,
     Fault::OrdersLate,
-    Fault::OrdersDoubled,
+    Fault::OrdersDuplicated,
     Fault::AppendsLost,
     Fault::LogDown,
     Fault::ZoneCutFromPlatform,
@@ -78,7 +78,7 @@
     match fault {
         Fault::HolderKilled => {
             if let Some(i) = w.holder(zone) {
-                w.controllers[i].power = Power::Dead;
+                w.controllers[i].state = ProcessState::Dead;
             }
         }
         Fault::HolderReplaced => {
@@ -90,14 +90,14 @@
         Fault::AllHoldersPaused => {
             for z in ["a", "b", "c"] {
                 if let Some(i) = w.holder(z) {
-                    w.controllers[i].power = Power::Paused;
+                    w.controllers[i].state = ProcessState::Paused;
                 }
             }
         }
         Fault::OrdersLost => w.faults.drop_orders = 3,
         Fault::OrderAnswersLost => w.faults.lose_order_answers = 4,
         Fault::OrdersLate => w.faults.delay_orders = Some(Duration::from_secs(100)),
-        Fault::OrdersDoubled => w.faults.double_orders = Some(Duration::from_secs(50)),
+        Fault::OrdersDuplicated => w.faults.duplicate_orders = Some(Duration::from_secs(50)),
         Fault::AppendsLost => w.faults.drop_appends = 4,
         Fault::LogDown => w.faults.log_down = true,
         Fault::ZoneCutFromPlatform => {
@@ -112,10 +112,10 @@
         }
         Fault::ReaderBehindRetention => {
             if let Some(i) = w.holder(zone) {
-                w.controllers[i].power = Power::Paused;
+                w.controllers[i].state = ProcessState::Paused;
             }
             w.run(Duration::from_secs(2));
-            w.snapshot_and_forget();
+            w.snapshot_and_truncate();
         }
     }
 }
@@ -135,8 +135,8 @@
     assert!(up, "the first plan was not carried out without any fault");
     // Old orders can't arrive any more.
     w.run(Duration::from_secs(301));
-    w.hold_reachable();
-    w.must_reach.remove("old");
+    w.require_reachable();
+    w.must_be_reachable.remove("old");
     w.confirm(second_intent());
     w.run(Duration::from_millis(after_ms));
     for (fault, zone) in faults.iter().zip(zones) {
@@ -146,7 +146,7 @@
         inject(&mut w, *fault, zone);
     }
     w.run(Duration::from_secs(40));
-    w.heal();
+    w.end_faults();
     for e in w.engines.values_mut().filter(|e| !e.up) {
         e.restart();
     }
@@ -155,7 +155,7 @@
     assert!(
         done,
         "the plan was not carried out: {:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
 }
 
--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -6,7 +6,7 @@
 use limehollow::intent::{Intent, Priority, Weights};
 use std::time::Duration;
 use tokio::time::Instant;
-use world::{World, intent, model, what_is_open};
+use world::{World, describe_unfinished, intent, model};
 
 const LANTERWIJK: Weights = Weights {
     attainment: 2000,
@@ -112,8 +112,8 @@
     let mut w = World::new(&["a", "b"], 60);
     w.confirm(weighed(weights));
     let settled = w.run_until(secs(60), World::is_settled);
-    assert!(settled, "{:#?}", what_is_open(&w));
-    w.hold_reachable();
+    assert!(settled, "{:#?}", describe_unfinished(&w));
+    w.require_reachable();
     w
 }
 
@@ -129,7 +129,7 @@
             .filter(|p| p.endpoint.as_str().contains("-b"))
             .count()
     };
-    assert!(in_b(&w) >= 1, "{:#?}", what_is_open(&w));
+    assert!(in_b(&w) >= 1, "{:#?}", describe_unfinished(&w));
     assert_eq!(w.fleet().moves_done(), before + 1);
     // Met now: nothing moves any more, not even back.
     w.unmet.clear();
@@ -161,6 +161,6 @@
     w.unmet = vec![("a".into(), "n".into(), 3.0), ("b".into(), "n".into(), 3.0)];
     w.run(secs(1500));
     let n = w.fleet().ready_replicas("n").count();
-    assert!(n >= 3, "n has {n}: {:#?}", what_is_open(&w));
+    assert!(n >= 3, "n has {n}: {:#?}", describe_unfinished(&w));
     assert!(w.fleet().ready_replicas("m").count() >= 1);
 }
--- a/crates/limehollow/tests/events.rs
+++ b/crates/limehollow/tests/events.rs
@@ -7,7 +7,7 @@
 use limehollow::id::Offset;
 use limehollow::plan::Action::{Load, Unload};
 use limehollow::record::{Departure, EndpointLeft, Evidence, Outcome, Record};
-use records::{Story, issued, lease, seen, settled};
+use records::{TestLog, issued, lease, seen, settled};
 
 const ENDPOINTS: [&str; 2] = ["fenced", "open"];
 const MODELS: [(&str, u64); 3] = [("m", 40), ("n", 50), ("x", 5)];
@@ -20,7 +20,7 @@
 ];
 
 /// Makes a record of four bytes.  The epoch is sometimes an old one, and so is the incarnation.
-fn record(s: &Story, bytes: [u8; 4]) -> Record {
+fn record(s: &TestLog, bytes: [u8; 4]) -> Record {
     let [kind, which, what, how] = bytes.map(usize::from);
     let endpoint = ENDPOINTS[which % 2];
     let epoch = match how % 5 {
@@ -110,7 +110,7 @@
         .with_iterations(30_000)
         .with_type::<Vec<[u8; 4]>>()
         .for_each(|input| {
-            let mut s = Story::begin();
+            let mut s = TestLog::with_endpoints();
             s.load("fenced", "m", 40);
             for bytes in input.iter().take(200) {
                 let r = record(&s, *bytes);
@@ -140,14 +140,14 @@
         .with_iterations(5_000)
         .with_type::<Vec<[u8; 4]>>()
         .for_each(|input| {
-            let mut s = Story::begin();
+            let mut s = TestLog::with_endpoints();
             let half = input.len().min(100) / 2;
-            let mut other: Option<Story> = None;
+            let mut other: Option<TestLog> = None;
             for (i, bytes) in input.iter().take(100).enumerate() {
                 if i == half {
                     let text = serde_json::to_string(&s.fleet).expect("it can be written");
                     let fleet = serde_json::from_str(&text).expect("it can be read");
-                    other = Some(Story { fleet, ..s.clone() });
+                    other = Some(TestLog { fleet, ..s.clone() });
                 }
                 let r = record(&s, *bytes);
                 let first = s.next(&r);
@@ -165,7 +165,7 @@
         .with_iterations(10_000)
         .with_type::<Vec<[u8; 4]>>()
         .for_each(|input| {
-            let mut s = Story::begin();
+            let mut s = TestLog::with_endpoints();
             for bytes in input.iter().take(100) {
                 let r = record(&s, *bytes);
                 let _void = s.next(&r);
--- a/crates/limehollow/tests/fleet.rs
+++ b/crates/limehollow/tests/fleet.rs
@@ -13,13 +13,13 @@
     Resident,
 };
 use records::{
-    Story, adapter, answer, intent, issued, lease, model, order, place, plan, seen, settled,
+    TestLog, adapter, answer, intent, issued, lease, model, order, place, plan, seen, settled,
     version,
 };
 
 #[test]
 fn order_void_reasons() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("fenced", "m", 40);
     let cases = [
         (
@@ -59,7 +59,7 @@
 #[test]
 fn order_memory() {
     // What is on its way counts, and so does what is on its way out.
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     let load_n = s.ok(order("open", Load, "n", "1", 50));
     s.ok(settled(load_n, Outcome::Done, Evidence::EffectSeen));
@@ -87,7 +87,7 @@
 
 #[test]
 fn order_one_at_a_time() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let first = s.ok(order("open", Load, "m", "1", 40));
     let why = s.void(order("open", Load, "n", "1", 50));
     assert_eq!(why, format!("open has order {first} unsettled"));
@@ -95,7 +95,7 @@
 
 #[test]
 fn order_adapter_before_base_leaves() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.load("open", "x", 5);
     s.load("fenced", "m", 40);
@@ -105,7 +105,7 @@
 
 #[test]
 fn order_from_old_epoch() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.ok(lease("vm-2", Some(0)));
     let why = s.void(order("open", Load, "m", "1", 40));
     assert_eq!(why, "epoch 0 of zone a is not the current one");
@@ -113,7 +113,7 @@
 
 #[test]
 fn order_in_other_zone() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let mut o = issued("open", Load, "m", "1", 40);
     o.zone = "b".into();
     assert_eq!(
@@ -124,7 +124,7 @@
 
 #[test]
 fn order_to_earlier_incarnation() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.ok(seen("open", false, 2, Vec::new()));
     assert_eq!(
         s.void(order("open", Load, "m", "1", 40)),
@@ -136,7 +136,7 @@
 fn unload_may_come_twice() {
     // At an endpoint that takes any order a second copy of an unload can take a new replica away.
     for (endpoint, is_void) in [("open", true), ("fenced", false)] {
-        let mut s = Story::begin();
+        let mut s = TestLog::with_endpoints();
         s.load("open", "m", 40);
         s.load("fenced", "m", 40);
         let unload = s.ok(order(endpoint, Unload, "m", "1", 40));
@@ -157,7 +157,7 @@
 fn load_may_come_twice() {
     // A second copy of a load can bring back what was unloaded: its memory stays reserved that long.
     for (endpoint, free) in [("open", 60), ("fenced", 100)] {
-        let mut s = Story::begin();
+        let mut s = TestLog::with_endpoints();
         s.load("open", "m", 40);
         s.load("fenced", "m", 40);
         let unload = s.ok(order(endpoint, Unload, "m", "1", 40));
@@ -178,7 +178,7 @@
 
 #[test]
 fn settled_by_delay_too_early() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let o = s.ok(order("open", Load, "m", "1", 40));
     let early = settled(o, Outcome::NotDone, Evidence::DelayPassed);
     assert!(s.void(early.clone()).contains("may still arrive again for"));
@@ -188,7 +188,7 @@
 
 #[test]
 fn settled_twice() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let o = s.ok(order("open", Load, "m", "1", 40));
     s.ok(settled(o, Outcome::Done, Evidence::EffectSeen));
     let why = s.void(settled(o, Outcome::NotDone, Evidence::Answered));
@@ -199,8 +199,8 @@
 #[test]
 fn replica_counts_by_state() {
     // Memory counts all three states; reachability only the one that is sure.
-    let mut s = Story::begin();
-    let used = |s: &Story| s.fleet.accelerator(&place("open")).map(Accelerator::used);
+    let mut s = TestLog::with_endpoints();
+    let used = |s: &TestLog| s.fleet.accelerator(&place("open")).map(Accelerator::used);
     let load = s.ok(order("open", Load, "m", "1", 40));
     assert_eq!(
         (used(&s), s.fleet.ready_replicas("m").count()),
@@ -227,7 +227,7 @@
 #[test]
 fn endpoint_restarted_with_open_order() {
     // The order may still arrive at the new incarnation, so its memory stays reserved.
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let o = s.ok(order("open", Load, "m", "1", 40));
     s.ok(seen("open", false, 2, Vec::new()));
     let e = s.fleet.endpoint("open").expect("it is known");
@@ -238,7 +238,7 @@
 fn endpoint_restarted_twice_with_open_unload() {
     // After the first restart there is nothing left to unload, but the order may still come: nothing
     // else is ordered before its outcome is known.
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.load("fenced", "m", 40);
     let o = s.ok(order("open", Unload, "m", "1", 40));
@@ -253,7 +253,7 @@
         (Departure::Leaving, Presence::Leaving),
         (Departure::Gone, Presence::Gone),
     ] {
-        let mut s = Story::begin();
+        let mut s = TestLog::with_endpoints();
         s.load("open", "m", 40);
         let left = EndpointLeft {
             zone: "a".into(),
@@ -270,7 +270,7 @@
 
 #[test]
 fn replica_lost_and_found() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     let lost = ReplicaLost {
         zone: "a".into(),
@@ -298,7 +298,7 @@
 
 #[test]
 fn lease_first_takeover_wins() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let epoch = s.ok(lease("vm-2", Some(0)));
     let why = s.void(lease("vm-3", Some(0)));
     assert_eq!(
@@ -315,7 +315,7 @@
 
 #[test]
 fn confirm_overtaken_by_intent() {
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     let first = s.ok(Record::Intent(intent(vec![model("m", "1", 40)])));
     let p = s.ok(plan(first));
     let mut other = intent(vec![model("n", "1", 50)]);
@@ -331,7 +331,7 @@
 
 #[test]
 fn confirm_raced_by_reject() {
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     let i = s.ok(Record::Intent(intent(vec![model("m", "1", 40)])));
     let p = s.ok(plan(i));
     let by = s.ok(answer(p, "bor", AnswerKind::Reject));
@@ -344,7 +344,7 @@
 
 #[test]
 fn confirm_unknown_plan() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     assert_eq!(
         s.void(answer(Offset(999), "ana", AnswerKind::Confirm)),
         "there is no plan 999"
@@ -354,7 +354,7 @@
 #[test]
 fn intent_change_raced() {
     // Two operators change the same intent: the earlier stands, the later is told whose it was.
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let latest = s.fleet.latest_intent().expect("there is one").clone();
     let change = |operator: &str, set: Vec<ModelIntent>| {
         let mut new = latest.intent.clone();
@@ -407,7 +407,7 @@
         place: place(endpoint),
         model: version(name, "1"),
     };
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let mut confirm = |changed: &[&str], targets: Vec<Target>| {
         let i = s.ok(Record::Intent(intent(vec![
             model("m", "1", 40),
@@ -433,7 +433,7 @@
 
 #[test]
 fn plan_on_another_base() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let i = s.ok(Record::Intent(intent(vec![model("m", "1", 40)])));
     let why = s.void(plan(i));
     assert!(
@@ -444,7 +444,7 @@
 
 #[test]
 fn plan_second_for_one_intent() {
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     let i = s.ok(Record::Intent(intent(vec![model("m", "1", 40)])));
     let p = s.ok(plan(i));
     assert_eq!(
@@ -483,14 +483,14 @@
         ),
     ];
     for (models, why) in cases {
-        let mut s = Story::default();
+        let mut s = TestLog::default();
         assert_eq!(s.void(Record::Intent(intent(models))), why);
     }
 }
 
 #[test]
 fn offset_backwards() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let before = s.fleet.clone();
     let res = s
         .fleet
@@ -504,7 +504,7 @@
 fn version_never_reverts() {
     // Once the confirmed version was ready in a zone, the old one gets no work there any more, also
     // if the new replica is lost.
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.confirm(intent(vec![model("m", "2", 40), model("n", "1", 50)]));
     assert_eq!(
@@ -540,7 +540,7 @@
 
 #[test]
 fn void_records_still_move_on() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     let before = s.fleet.next_offset();
     s.void(order("nowhere", Load, "m", "1", 40));
     assert_eq!(s.fleet.next_offset(), before.next());
@@ -549,7 +549,7 @@
 
 #[test]
 fn state_survives_its_text() {
-    let mut s = Story::begin();
+    let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.ok(order("open", Load, "x", "1", 5));
     let text = serde_json::to_string(&s.fleet).expect("it can be written");
--- a/crates/limehollow/tests/lease.rs
+++ b/crates/limehollow/tests/lease.rs
@@ -5,7 +5,7 @@
 use limehollow::id::Offset;
 use limehollow::lease::LeaseWatch;
 use limehollow::record::Record;
-use records::{Story, lease};
+use records::{TestLog, lease};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -23,7 +23,7 @@
 #[test]
 fn poll_free_lease() {
     // The first in the zone tries at once, the others one after the other.
-    let (s, t) = (Story::default(), Instant::now());
+    let (s, t) = (TestLog::default(), Instant::now());
     let first = watch("vm-1", 1)
         .poll(t, &s.fleet, 0)
         .expect("nobody holds it");
@@ -35,7 +35,7 @@
 
 #[test]
 fn poll_silent_holder() {
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     let epoch = s.ok(lease("vm-1", None));
     let t = Instant::now();
     let mut w = watch("vm-2", 1);
@@ -57,7 +57,7 @@
 
 #[test]
 fn poll_new_holder_gets_its_time() {
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     s.ok(lease("vm-1", None));
     let t = Instant::now();
     let mut w = watch("vm-3", 1);
@@ -73,7 +73,7 @@
 #[test]
 fn poll_own_earlier_life() {
     // A restarted controller needn't wait for itself.
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     s.ok(lease("vm-1", None));
     let mut w = watch("vm-1", 2);
     assert!(!w.holds_lease(&s.fleet));
@@ -83,7 +83,7 @@
 #[test]
 fn poll_race() {
     // Two try at the same time: the log's order decides, and both see the same holder.
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     s.ok(lease("vm-0", None));
     let t = Instant::now();
     let (mut one, mut two) = (watch("vm-1", 1), watch("vm-2", 1));
--- a/crates/limehollow/tests/orders_in_doubt.rs
+++ b/crates/limehollow/tests/orders_in_doubt.rs
@@ -7,7 +7,7 @@
 use limehollow::plan::ModelVersion;
 use limehollow::record::{Evidence, Outcome};
 use std::time::Duration;
-use world::{Power, World, intent, model, what_is_open};
+use world::{ProcessState, World, describe_unfinished, intent, model};
 
 /// One zone with an engine that checks fencing numbers (`engine-a1`) and one that doesn't
 /// (`engine-a2`), with one model ready on each.
@@ -16,7 +16,7 @@
     w.confirm(intent(vec![model("m", "1", 30, 2)]));
     settle(&mut w, 60);
     w.run(Duration::from_secs(301));
-    w.hold_reachable();
+    w.require_reachable();
     w
 }
 
@@ -25,7 +25,7 @@
     assert!(
         settled,
         "the plan was not carried out: {:#?}",
-        what_is_open(w)
+        describe_unfinished(w)
     );
 }
 
@@ -57,12 +57,14 @@
 fn world_paused_at_send(gone: &str) -> World {
     let mut w = world_with_two_engines();
     w.engines.get_mut(gone).expect("it is there").up = false;
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     w.run(Duration::from_secs(20));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
     w.faults.pause_at_send = true;
     let paused = w.run_until(Duration::from_secs(30), |w| {
-        w.controllers.iter().any(|c| c.power == Power::Paused)
+        w.controllers
+            .iter()
+            .any(|c| c.state == ProcessState::Paused)
     });
     assert!(paused, "the load of n was about to be sent");
     w
@@ -87,7 +89,7 @@
         .accelerators[0]
         .used();
     assert_eq!(reserved, 50);
-    w.heal();
+    w.end_faults();
     w.run(Duration::from_secs(20));
     assert_eq!(
         last_settled(&w, "engine-a2"),
@@ -110,7 +112,7 @@
         (first.outcome, first.evidence),
         (Outcome::NotDone, Evidence::Fenced)
     );
-    w.heal();
+    w.end_faults();
     w.run(Duration::from_secs(20));
     assert!(w.is_settled());
 }
@@ -121,7 +123,7 @@
     // memory reserved and its replica uncounted.
     let mut w = world_with_two_engines();
     w.engines.get_mut("engine-a1").expect("it is there").up = false;
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     w.run(Duration::from_secs(20));
     w.faults.drop_orders = 1;
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
@@ -149,10 +151,10 @@
     // A second copy of an unload comes after the model was wanted back. The new replica must not
     // count as the one that lets the last other one go.
     let mut w = world_with_two_engines();
-    w.faults.double_orders = Some(Duration::from_secs(120));
+    w.faults.duplicate_orders = Some(Duration::from_secs(120));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
     settle(&mut w, 60);
-    w.faults.double_orders = None;
+    w.faults.duplicate_orders = None;
     let holds = |w: &World, e: &str| {
         w.engines[&VmName::from(e)]
             .models
@@ -175,10 +177,10 @@
 fn doubled_load_unfenced() {
     // A second copy of a load comes after the model was unloaded again and another wants its place.
     let mut w = world_with_two_engines();
-    w.faults.double_orders = Some(Duration::from_secs(100));
+    w.faults.duplicate_orders = Some(Duration::from_secs(100));
     w.confirm(intent(vec![model("m", "1", 30, 2), model("n", "1", 30, 2)]));
     settle(&mut w, 60);
-    w.faults.double_orders = None;
+    w.faults.duplicate_orders = None;
     w.confirm(intent(vec![model("m", "1", 30, 2), model("o", "1", 30, 2)]));
     // The world checks each engine's memory at every tick, and the copies arrive on the way.
     settle(&mut w, 1500);
@@ -188,7 +190,7 @@
 fn late_order_after_restart_fenced() {
     // The engine restarts empty and has forgotten its fencing number; an order from before comes.
     let mut w = world_with_two_engines();
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     w.engines.get_mut("engine-a2").expect("it is there").up = false;
     w.run(Duration::from_secs(20));
     w.faults.delay_orders = Some(Duration::from_secs(30));
@@ -208,12 +210,12 @@
     // An order is late; it is settled by fencing, and its model isn't wanted any more. Then the engine
     // restarts and forgets the fence: it has to be fenced again before it counts as found.
     let mut w = world_with_two_engines();
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     w.engines.get_mut("engine-a2").expect("it is there").up = false;
     w.run(Duration::from_secs(20));
     w.faults.delay_orders = Some(Duration::from_secs(60));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 30, 1)]));
-    let sent = w.run_until(Duration::from_secs(10), |w| w.flying() > 0);
+    let sent = w.run_until(Duration::from_secs(10), |w| w.orders_in_flight() > 0);
     assert!(sent, "the load of n is on its way");
     w.faults.delay_orders = None;
     w.faults.drop_orders = u32::MAX;
@@ -226,13 +228,13 @@
     w.faults.drop_orders = 0;
     w.confirm(intent(Vec::new()));
     w.run(Duration::from_secs(15));
-    assert_eq!((open_orders(&w), w.flying()), (0, 1));
+    assert_eq!((open_orders(&w), w.orders_in_flight()), (0, 1));
     w.engines
         .get_mut("engine-a1")
         .expect("it is there")
         .restart();
     w.run(Duration::from_secs(120));
-    assert_eq!(w.flying(), 0);
+    assert_eq!(w.orders_in_flight(), 0);
     assert_eq!(w.engines["engine-a1"].used(), 0, "the late order was taken");
 }
 
@@ -297,6 +299,6 @@
         loading >= 1 || w.is_settled(),
         "the order in doubt keeps its memory"
     );
-    w.heal();
+    w.end_faults();
     settle(&mut w, 900);
 }
--- a/crates/limehollow/tests/placement.rs
+++ b/crates/limehollow/tests/placement.rs
@@ -8,7 +8,7 @@
 use limehollow::placement::{memory_use, plan};
 use limehollow::plan::{Action, Plan};
 use limehollow::record::{EndpointKind, EndpointSeen, LeaseTaken, Record, Resident};
-use records::{Story, adapter, intent, model, place, version};
+use records::{TestLog, adapter, intent, model, place, version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An engine: zone, name, memory of each accelerator, residents.
@@ -16,7 +16,7 @@
 
 /// A fleet of engines, given as (zone, name, memory of each accelerator, residents).
 fn fleet(engines: &[Row<'_>], confirmed: Option<Intent>) -> Fleet {
-    let mut s = Story::default();
+    let mut s = TestLog::default();
     let mut epochs: BTreeMap<ZoneName, Offset> = BTreeMap::new();
     if let Some(i) = confirmed {
         s.confirm(i);
--- a/crates/limehollow/tests/records/mod.rs
+++ b/crates/limehollow/tests/records/mod.rs
@@ -13,17 +13,17 @@
 
 /// A fleet with the log that made it; each record comes one second after the last.
 #[derive(Clone, Debug, Default)]
-pub struct Story {
+pub struct TestLog {
     pub fleet: Fleet,
     pub offset: u64,
     pub at: u64,
 }
 
-impl Story {
+impl TestLog {
     /// Zone `a` with a lease and two endpoints of one accelerator of 100 bytes each: `fenced` checks
     /// fencing numbers, `open` doesn't. Models `m` (40 bytes), `n` (50) and the adapter `x` (5) on `m`
     /// are confirmed.
-    pub fn begin() -> Self {
+    pub fn with_endpoints() -> Self {
         let mut s = Self::default();
         s.ok(lease("vm-1", None));
         s.ok(seen("fenced", true, 1, Vec::new()));
--- a/crates/limehollow/tests/repairs.rs
+++ b/crates/limehollow/tests/repairs.rs
@@ -5,7 +5,7 @@
 use limehollow::id::VmName;
 use limehollow::plan::ModelVersion;
 use std::time::Duration;
-use world::{Power, World, intent, model, what_is_open};
+use world::{ProcessState, World, describe_unfinished, intent, model};
 
 fn secs(s: u64) -> Duration {
     Duration::from_secs(s)
@@ -16,9 +16,9 @@
     let mut w = World::new(&["a", "b", "c"], 60);
     w.confirm(intent(vec![model("m", "1", 20, 2), model("n", "1", 20, 2)]));
     let settled = w.run_until(secs(60), World::is_settled);
-    assert!(settled, "{:#?}", what_is_open(&w));
+    assert!(settled, "{:#?}", describe_unfinished(&w));
     w.run(secs(301));
-    w.hold_reachable();
+    w.require_reachable();
     w
 }
 
@@ -62,14 +62,14 @@
         .models
         .remove(&version);
     // One of two is gone; the other one keeps it reachable while it comes back.
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     w.run(secs(10));
-    w.hold_reachable();
+    w.require_reachable();
     assert_eq!(
         (ready(&w, "m"), w.fleet().moves_done()),
         (2, before + 1),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
 }
 
@@ -85,7 +85,7 @@
         (ready(&w, "m"), ready(&w, "n")),
         (2, 2),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
     assert_eq!(w.fleet().moves_done(), before + held);
 }
@@ -102,7 +102,7 @@
         (ready(&w, "m"), ready(&w, "n")),
         (2, 2),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
     let in_zone = |p: &limehollow::plan::AcceleratorRef| {
         w.fleet()
@@ -121,7 +121,7 @@
         w.fleet().moves_done(),
         before + held,
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
 }
 
@@ -140,7 +140,7 @@
         (ready(&w, "m"), ready(&w, "n")),
         (2, 2),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
 }
 
@@ -157,7 +157,7 @@
         w.unlisted.insert(n.clone());
     }
     for c in w.controllers.iter_mut().filter(|c| c.zone.as_str() == zone) {
-        c.power = Power::Dead;
+        c.state = ProcessState::Dead;
         w.unlisted.insert(c.name.clone());
     }
     w.run(secs(120));
@@ -171,7 +171,7 @@
         (elsewhere("m"), elsewhere("n")),
         (2, 2),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
     assert_eq!(
         w.fleet().moves_done(),
@@ -189,14 +189,14 @@
     assert!(
         w.run_until(secs(60), World::is_settled),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
-    w.hold_reachable();
+    w.require_reachable();
     w.confirm(intent(vec![model("m", "2", 20, 1)]));
     assert!(
         w.run_until(secs(60), World::is_settled),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
 }
 
@@ -207,13 +207,13 @@
     let mut w = up();
     let (kept, zone) = holder_of(&w, "m");
     let lost = engines_of(&w, &zone);
-    w.must_reach.remove("n");
+    w.must_be_reachable.remove("n");
     for n in &lost {
         w.engines.get_mut(n).expect("it is there").up = false;
         w.unlisted.insert(n.clone());
     }
     for c in w.controllers.iter_mut().filter(|c| c.zone.as_str() == zone) {
-        c.power = Power::Dead;
+        c.state = ProcessState::Dead;
     }
     assert!(lost.contains(&kept));
     w.run(secs(1));
@@ -224,7 +224,7 @@
             .ready_replicas("m")
             .any(|p| !lost.contains(&p.endpoint)),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
 }
 
@@ -235,7 +235,7 @@
     F: FnOnce(&mut World, &VmName),
 {
     let mut w = up();
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     let (e, _) = holder_of(&w, "m");
     let (start, records) = (w.now, w.log.len());
     f(&mut w, &e);
@@ -245,7 +245,7 @@
     assert!(
         whole,
         "{what} was not repaired in {limit} s: {:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
     let took = w.now.duration_since(start);
     let appended = w.log.len() - records;
@@ -278,7 +278,7 @@
     let with_holder = |w: &mut World, e: &VmName| {
         let zone = w.engines[e].zone.to_string();
         let i = w.holder(&zone).expect("somebody holds it");
-        w.controllers[i].power = Power::Dead;
+        w.controllers[i].state = ProcessState::Dead;
         w.engines.get_mut(e).expect("it is there").restart();
     };
     let (took, _) = time_to_repair("engine restarted, holder killed", 60, with_holder);
@@ -297,7 +297,7 @@
 fn storm_appends_are_bounded() {
     // Every engine restarts at once: the records are those of the repairs and no more.
     let mut w = up();
-    w.must_reach.clear();
+    w.must_be_reachable.clear();
     let (start, records) = (w.now, w.log.len());
     let held: usize = w.engines.values().map(|e| e.models.len()).sum();
     for e in w.engines.values_mut() {
@@ -308,7 +308,7 @@
         (ready(&w, "m"), ready(&w, "n")),
         (2, 2),
         "{:#?}",
-        what_is_open(&w)
+        describe_unfinished(&w)
     );
     let appended = w.log.len() - records;
     let took = w.now.duration_since(start);
--- a/crates/limehollow/tests/replay.rs
+++ b/crates/limehollow/tests/replay.rs
@@ -5,7 +5,7 @@
 use limehollow::id::{LogTime, Offset};
 use limehollow::record::{Content, Entry, Record};
 use limehollow::replay::Replay;
-use records::{Story, intent, lease, model, seen};
+use records::{TestLog, intent, lease, model, seen};
 
 /// A log of ten records and, at offset 10, a snapshot of the state up to offset 8.
 fn log() -> Vec<Entry> {
@@ -25,15 +25,15 @@
         .zip(records)
         .map(|(i, r)| entry(i, Content::Record(r)))
         .collect();
-    let mut story = Story::default();
+    let mut test_log = TestLog::default();
     for e in entries.iter().take(8) {
         if let Content::Record(r) = &e.content {
-            let _void = story.fleet.apply(e.offset, e.at, r);
+            let _void = test_log.fleet.apply(e.offset, e.at, r);
         }
     }
     let snapshot = Content::Snapshot {
         next: Offset(8),
-        fleet: Box::new(story.fleet),
+        fleet: Box::new(test_log.fleet),
     };
     entries.push(entry(10, snapshot));
     entries.push(entry(11, Content::Record(lease("vm-8", Some(9)))));
@@ -48,7 +48,7 @@
     }
 }
 
-fn feed_all<'e, I>(r: &mut Replay, entries: I)
+fn push_all<'e, I>(r: &mut Replay, entries: I)
 where
     I: IntoIterator<Item = &'e Entry>,
 {
@@ -59,18 +59,18 @@
 
 fn full() -> Replay {
     let mut r = Replay::default();
-    feed_all(&mut r, &log());
+    push_all(&mut r, &log());
     r
 }
 
 #[test]
 fn feed_from_any_point() {
     // Whatever the log has forgotten below the snapshot's reach, the state is the same in the end.
-    for kept_from in 0..=8 {
+    for retained_from in 0..=8 {
         let mut r = Replay::default();
-        feed_all(&mut r, &log()[kept_from..]);
-        assert!(!r.has_gap(), "kept from {kept_from}");
-        assert_eq!(r.fleet(), full().fleet(), "kept from {kept_from}");
+        push_all(&mut r, &log()[retained_from..]);
+        assert!(!r.has_gap(), "kept from {retained_from}");
+        assert_eq!(r.fleet(), full().fleet(), "kept from {retained_from}");
     }
 }
 
@@ -78,7 +78,7 @@
 fn feed_snapshot_too_late() {
     // A snapshot up to offset 8 doesn't help where the log begins at 9.
     let mut r = Replay::default();
-    feed_all(&mut r, &log()[9..]);
+    push_all(&mut r, &log()[9..]);
     assert!(r.has_gap());
     // What the snapshot says is in force; nothing beyond the gap is.
     assert_eq!(r.fleet().next_offset(), Offset(8));
@@ -89,11 +89,11 @@
     // A reader slept while the log forgot what it needed next.
     let log = log();
     let mut r = Replay::default();
-    feed_all(&mut r, &log[..3]);
-    feed_all(&mut r, &log[6..10]);
+    push_all(&mut r, &log[..3]);
+    push_all(&mut r, &log[6..10]);
     assert!(r.has_gap());
     assert_eq!(r.fleet().next_offset(), Offset(3));
-    feed_all(&mut r, &log[10..]);
+    push_all(&mut r, &log[10..]);
     assert_eq!(r.fleet(), full().fleet());
 }
 
@@ -101,7 +101,7 @@
 fn feed_twice() {
     let mut r = full();
     let before = r.fleet().clone();
-    feed_all(&mut r, &log());
+    push_all(&mut r, &log());
     assert_eq!(*r.fleet(), before);
 }
 
@@ -119,7 +119,7 @@
 #[test]
 fn adopt_never_backwards() {
     let mut old = Replay::default();
-    feed_all(&mut old, &log()[..4]);
+    push_all(&mut old, &log()[..4]);
     let mut r = full();
     let before = r.fleet().clone();
     r.install_snapshot_and_replay(Offset(4), old.fleet().clone());
@@ -130,9 +130,9 @@
 fn adopt_from_peer_over_gap() {
     let log = log();
     let mut peer = Replay::default();
-    feed_all(&mut peer, &log[..10]);
+    push_all(&mut peer, &log[..10]);
     let mut r = Replay::default();
-    feed_all(&mut r, &log[9..]);
+    push_all(&mut r, &log[9..]);
     assert!(r.has_gap());
     r.install_snapshot_and_replay(Offset(10), peer.fleet().clone());
     assert!(!r.has_gap());
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -98,7 +98,7 @@
         self.reports.clear();
     }
 
-    fn take(&mut self, now: Instant, o: &Order) -> SendResult {
+    fn accept(&mut self, now: Instant, o: &Order) -> SendResult {
         if !self.up {
             return SendResult::Lost;
         }
@@ -131,7 +131,7 @@
             endpoint: name.clone(),
             accelerator: 0,
         };
-        let mut look = Observation {
+        let mut observation = Observation {
             began: now,
             incarnation: self.incarnation,
             kind: EndpointKind::Engine {
@@ -150,32 +150,32 @@
         for (m, (bytes, phase)) in &self.models {
             let (place, model) = (place.clone(), m.clone());
             match phase {
-                Phase::Ready => look.residents.push(Resident {
+                Phase::Ready => observation.residents.push(Resident {
                     place,
                     model,
                     bytes: *bytes,
                 }),
-                Phase::Loading(_) => look.changing.push((place, model)),
+                Phase::Loading(_) => observation.changing.push((place, model)),
             }
         }
-        self.reports.push_back((now, look));
+        self.reports.push_back((now, observation));
         // Reports lag by just less than the rules allow.
         while self.reports.len() > 1 && self.reports[1].0 + LAG - TICK <= now {
             self.reports.pop_front();
         }
     }
 
-    fn look(&self, now: Instant) -> Option<Observation> {
-        let (_, look) = self.reports.front()?;
+    fn observe(&self, now: Instant) -> Option<Observation> {
+        let (_, observation) = self.reports.front()?;
         self.up.then(|| Observation {
             began: now,
-            ..look.clone()
+            ..observation.clone()
         })
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Power {
+pub enum ProcessState {
     Up,
     Paused,
     Dead,
@@ -187,7 +187,7 @@
     pub name: VmName,
     pub zone: ZoneName,
     pub incarnation: Incarnation,
-    pub power: Power,
+    pub state: ProcessState,
     pub replay: Replay,
     lease: LeaseWatch,
     driver: Driver,
@@ -216,13 +216,13 @@
     pub drop_orders: u32,
     pub lose_order_answers: u32,
     pub delay_orders: Option<Duration>,
-    pub double_orders: Option<Duration>,
+    pub duplicate_orders: Option<Duration>,
     /// The next controller that decides to send an order is paused just before it does.
     pub pause_at_send: bool,
 }
 
 #[derive(Debug)]
-struct Flight {
+struct OrderInFlight {
     arrives: Instant,
     engine: VmName,
     order: Order,
@@ -233,23 +233,23 @@
     pub start: Instant,
     pub log: Vec<Entry>,
     /// The lowest offset that the log still keeps.
-    pub kept_from: usize,
+    pub retained_from: usize,
     pub engines: BTreeMap<VmName, Engine>,
     pub controllers: Vec<Controller>,
     pub faults: Faults,
     pub unlisted: BTreeSet<VmName>,
     pub leaving: BTreeSet<VmName>,
     /// The fold of the whole log, for checks and operators.
-    pub truth: Replay,
+    pub reference: Replay,
     /// Models that have to be reachable at every tick.
-    pub must_reach: BTreeSet<ModelName>,
+    pub must_be_reachable: BTreeSet<ModelName>,
     /// Sent orders, for counting.
     pub orders_sent: u32,
     /// What a gateway of each zone has to refuse: zone, model, requests a second.
     pub unmet: Vec<(ZoneName, ModelName, f64)>,
     /// Whether second copies of orders are about, which may bring back what nobody counts.
-    copies: bool,
-    flights: Vec<Flight>,
+    has_duplicates: bool,
+    in_flight: Vec<OrderInFlight>,
     ticks: u64,
 }
 
@@ -281,24 +281,24 @@
             now: start,
             start,
             log: Vec::new(),
-            kept_from: 0,
+            retained_from: 0,
             engines,
             controllers,
             faults: Faults::default(),
             unlisted: BTreeSet::new(),
             leaving: BTreeSet::new(),
-            truth: Replay::default(),
-            must_reach: BTreeSet::new(),
+            reference: Replay::default(),
+            must_be_reachable: BTreeSet::new(),
             orders_sent: 0,
             unmet: Vec::new(),
-            copies: false,
-            flights: Vec::new(),
+            has_duplicates: false,
+            in_flight: Vec::new(),
             ticks: 0,
         }
     }
 
     pub fn fleet(&self) -> &Fleet {
-        self.truth.fleet()
+        self.reference.fleet()
     }
 
     fn log_time(&self) -> LogTime {
@@ -319,7 +319,7 @@
             content,
         };
         self.log.push(entry.clone());
-        let applied = self.truth.push_entry(entry);
+        let applied = self.reference.push_entry(entry);
         let res = applied
             .into_iter()
             .find(|(o, _)| *o == offset)
@@ -328,13 +328,13 @@
     }
 
     /// Appends a snapshot and lets the log forget all before it.
-    pub fn snapshot_and_forget(&mut self) {
-        let fleet = Box::new(self.truth.fleet().clone());
+    pub fn snapshot_and_truncate(&mut self) {
+        let fleet = Box::new(self.reference.fleet().clone());
         let next = fleet.next_offset();
         self.append_content(Content::Snapshot { next, fleet })
             .1
             .expect("a snapshot is never void");
-        self.kept_from = self.log.len() - 1;
+        self.retained_from = self.log.len() - 1;
     }
 
     fn reaches_platform(&self, zone: &ZoneName) -> bool {
@@ -415,30 +415,30 @@
     pub fn tick(&mut self) {
         self.now += TICK;
         self.ticks += 1;
-        self.land_flights();
+        self.deliver_orders();
         let now = self.now;
         for (name, e) in &mut self.engines {
             e.advance(now, name);
         }
         self.exchange_heartbeats();
         for i in 0..self.controllers.len() {
-            if self.controllers[i].power == Power::Up {
+            if self.controllers[i].state == ProcessState::Up {
                 self.run_controller(i);
             }
         }
         self.check();
     }
 
-    fn land_flights(&mut self) {
+    fn deliver_orders(&mut self) {
         let now = self.now;
-        let (landed, flying) = self
-            .flights
+        let (arrived, remaining) = self
+            .in_flight
             .drain(..)
-            .partition(|f: &Flight| f.arrives <= now);
-        self.flights = flying;
-        for f in landed as Vec<Flight> {
+            .partition(|f: &OrderInFlight| f.arrives <= now);
+        self.in_flight = remaining;
+        for f in arrived as Vec<OrderInFlight> {
             if let Some(e) = self.engines.get_mut(&f.engine) {
-                e.take(now, &f.order);
+                e.accept(now, &f.order);
             }
         }
     }
@@ -448,7 +448,11 @@
             return;
         }
         let now = self.now;
-        for c in self.controllers.iter_mut().filter(|c| c.power == Power::Up) {
+        for c in self
+            .controllers
+            .iter_mut()
+            .filter(|c| c.state == ProcessState::Up)
+        {
             let next = c.replay.fleet().next_offset();
             c.members.tick(now, next);
         }
@@ -458,10 +462,14 @@
         let digests: Vec<_> = self
             .controllers
             .iter_mut()
-            .filter(|c| c.power == Power::Up)
+            .filter(|c| c.state == ProcessState::Up)
             .map(|c| (c.zone.clone(), c.members.digest(now, &[])))
             .collect();
-        for c in self.controllers.iter_mut().filter(|c| c.power == Power::Up) {
+        for c in self
+            .controllers
+            .iter_mut()
+            .filter(|c| c.state == ProcessState::Up)
+        {
             for (_, d) in digests.iter().filter(|(z, _)| *z == c.zone) {
                 for h in d {
                     c.members.merge(now, h.clone());
@@ -515,9 +523,9 @@
                 Command::Send(order) => {
                     if self.faults.pause_at_send {
                         self.faults.pause_at_send = false;
-                        self.controllers[i].power = Power::Paused;
+                        self.controllers[i].state = ProcessState::Paused;
                     }
-                    if self.controllers[i].power == Power::Paused {
+                    if self.controllers[i].state == ProcessState::Paused {
                         self.controllers[i].unsent.push(order);
                     } else {
                         self.send(i, order);
@@ -526,7 +534,7 @@
                 other => self.controllers[i].calls.push(other),
             }
         }
-        if !records.is_empty() && reaches && self.controllers[i].power == Power::Up {
+        if !records.is_empty() && reaches && self.controllers[i].state == ProcessState::Up {
             self.append_from(i, records);
         }
     }
@@ -534,7 +542,7 @@
     fn read_log(&mut self, i: usize) {
         let c = &mut self.controllers[i];
         let from = usize::try_from(c.replay.next_to_read().0).expect("small");
-        for entry in &self.log[from.max(self.kept_from).min(self.log.len())..] {
+        for entry in &self.log[from.max(self.retained_from).min(self.log.len())..] {
             c.replay.push_entry(entry.clone());
         }
         c.must_read = false;
@@ -566,10 +574,10 @@
         let now = self.now;
         let engine = order.place.endpoint.clone();
         self.orders_sent += 1;
-        if let Some(after) = self.faults.double_orders {
-            self.copies = true;
+        if let Some(after) = self.faults.duplicate_orders {
+            self.has_duplicates = true;
             let arrives = now + after;
-            self.flights.push(Flight {
+            self.in_flight.push(OrderInFlight {
                 arrives,
                 engine: engine.clone(),
                 order: order.clone(),
@@ -580,22 +588,22 @@
             self.faults.drop_orders -= 1;
             SendResult::Lost
         } else if let Some(delay) = self.faults.delay_orders {
-            self.flights.push(Flight {
+            self.in_flight.push(OrderInFlight {
                 arrives: now + delay,
                 engine,
                 order,
             });
             SendResult::Lost
         } else {
-            let taken = self
+            let answer = self
                 .engines
                 .get_mut(&engine)
-                .map_or(SendResult::Lost, |e| e.take(now, &order));
+                .map_or(SendResult::Lost, |e| e.accept(now, &order));
             if self.faults.lose_order_answers > 0 {
                 self.faults.lose_order_answers -= 1;
                 SendResult::Lost
             } else {
-                taken
+                answer
             }
         };
         self.controllers[i].driver.on_send_result(now, number, res);
@@ -607,10 +615,10 @@
         for call in std::mem::take(&mut self.controllers[i].calls) {
             match call {
                 Command::Poll { endpoint, .. } => {
-                    let look = self.engines.get(&endpoint).and_then(|e| e.look(now));
+                    let observation = self.engines.get(&endpoint).and_then(|e| e.observe(now));
                     self.controllers[i]
                         .driver
-                        .on_observation(now, &endpoint, look);
+                        .on_observation(now, &endpoint, observation);
                 }
                 Command::Fence {
                     endpoint, number, ..
@@ -645,18 +653,18 @@
             );
         }
         self.check_all_counted();
-        for m in &self.must_reach {
+        for m in &self.must_be_reachable {
             let reachable = self
                 .fleet()
                 .ready_replicas(m.as_str())
-                .any(|p| self.really_ready(&p, m));
+                .any(|p| self.is_loaded(&p, m));
             assert!(reachable, "{at:?}: {m} is not reachable");
         }
     }
 
     /// Checks that the log counts all that an engine holds: it may count too much, never too little.
     fn check_all_counted(&self) {
-        if self.copies {
+        if self.has_duplicates {
             return;
         }
         let at = self.now.duration_since(self.start);
@@ -672,7 +680,7 @@
         }
     }
 
-    fn really_ready(&self, place: &AcceleratorRef, name: &ModelName) -> bool {
+    fn is_loaded(&self, place: &AcceleratorRef, name: &ModelName) -> bool {
         self.engines.get(&place.endpoint).is_some_and(|e| {
             e.up && e
                 .models
@@ -682,8 +690,8 @@
     }
 
     /// Counts the orders that are on their way.
-    pub fn flying(&self) -> usize {
-        self.flights.len()
+    pub fn orders_in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Gives the index of the controller that holds a zone's lease.
@@ -705,23 +713,23 @@
     }
 
     /// Ends all faults.
-    pub fn heal(&mut self) {
+    pub fn end_faults(&mut self) {
         self.faults = Faults::default();
         for i in 0..self.controllers.len() {
-            match self.controllers[i].power {
-                Power::Dead => self.replace(i),
-                Power::Paused => self.controllers[i].power = Power::Up,
-                Power::Up => {}
+            match self.controllers[i].state {
+                ProcessState::Dead => self.replace(i),
+                ProcessState::Paused => self.controllers[i].state = ProcessState::Up,
+                ProcessState::Up => {}
             }
         }
     }
 
     /// Takes all served models as ones that have to be reachable from now on.
-    pub fn hold_reachable(&mut self) {
+    pub fn require_reachable(&mut self) {
         let Some(i) = self.fleet().confirmed_intent() else {
             return;
         };
-        self.must_reach = i.intent.models.iter().map(|m| m.name.clone()).collect();
+        self.must_be_reachable = i.intent.models.iter().map(|m| m.name.clone()).collect();
     }
 }
 
@@ -732,7 +740,7 @@
         driver: Driver::new(zone.clone(), name.clone(), incarnation, rules()),
         members: Membership::new(now, name.clone(), incarnation),
         replay: Replay::default(),
-        power: Power::Up,
+        state: ProcessState::Up,
         unsent: Vec::new(),
         calls: Vec::new(),
         must_read: false,
@@ -744,7 +752,7 @@
 }
 
 /// Says what keeps a plan from being carried out.
-pub fn what_is_open(w: &World) -> Vec<String> {
+pub fn describe_unfinished(w: &World) -> Vec<String> {
     let f = w.fleet();
     let open = f
         .orders()
