--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! A small fake of all that controllers meet: a log, engines and messages on their way.
+//! A simulation of the environment of controllers: the log, the engines and messages in flight.
 //!
-//! Time is a number that the test advances, so every run of a case is the same. The checks look at
-//! what the engines hold and at the log, never at what a controller believes.
+//! The test advances the time in ticks, so every run of a case is identical. The checks compare the
+//! engines' contents with the log, and never use a controller's own state.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -70,7 +70,7 @@
     Ready,
 }
 
-/// An engine as it really is.
+/// The actual state of an engine, as opposed to the state recorded in the log.
 #[derive(Debug)]
 pub struct Engine {
     pub zone: ZoneName,
@@ -159,7 +159,7 @@
             }
         }
         self.reports.push_back((now, observation));
-        // Reports lag by just less than the rules allow.
+        // Reports lag by one tick less than the rules allow.
         while self.reports.len() > 1 && self.reports[1].0 + LAG - TICK <= now {
             self.reports.pop_front();
         }
@@ -181,7 +181,7 @@
     Dead,
 }
 
-/// A controller's process.
+/// A controller process.
 #[derive(Debug)]
 pub struct Controller {
     pub name: VmName,
@@ -192,32 +192,32 @@
     lease: LeaseWatch,
     driver: Driver,
     members: Membership,
-    /// Orders that it had decided to send when it was paused.
+    /// Orders that the process had decided to send when it was paused.
     unsent: Vec<Order>,
-    /// Commands whose answer comes at the next tick.
+    /// Commands that are answered at the next tick.
     calls: Vec<Command>,
-    /// Whether an append has to be read back first.
+    /// Whether the process has to read its appends back before it decides again.
     must_read: bool,
     highest: Offset,
 }
 
-/// What goes wrong.
+/// The faults that are injected.
 #[derive(Debug, Default)]
 pub struct Faults {
     pub log_down: bool,
-    /// Appends that take effect and whose answer is lost.
+    /// The number of appends that take effect and whose answer is lost.
     pub lose_append_answers: u32,
-    /// Appends that are lost.
+    /// The number of appends that are lost.
     pub drop_appends: u32,
-    /// Zones that can't reach the platform.
+    /// The zones that can't reach the platform.
     pub cut_from_platform: BTreeSet<ZoneName>,
-    /// Whether the controllers of a zone hear each other.
+    /// Whether the controllers of a zone receive no messages from each other.
     pub peers_cut: bool,
     pub drop_orders: u32,
     pub lose_order_answers: u32,
     pub delay_orders: Option<Duration>,
     pub duplicate_orders: Option<Duration>,
-    /// The next controller that decides to send an order is paused just before it does.
+    /// Whether the next controller that decides to send an order is paused just before it does.
     pub pause_at_send: bool,
 }
 
@@ -232,29 +232,30 @@
     pub now: Instant,
     pub start: Instant,
     pub log: Vec<Entry>,
-    /// The lowest offset that the log still keeps.
+    /// The lowest offset that the log retains.
     pub retained_from: usize,
     pub engines: BTreeMap<VmName, Engine>,
     pub controllers: Vec<Controller>,
     pub faults: Faults,
     pub unlisted: BTreeSet<VmName>,
     pub leaving: BTreeSet<VmName>,
-    /// The fold of the whole log, for checks and operators.
+    /// The state after the whole log, used by the checks and by operators' actions.
     pub reference: Replay,
-    /// Models that have to be reachable at every tick.
+    /// The models that have to be reachable at every tick.
     pub must_be_reachable: BTreeSet<ModelName>,
-    /// Sent orders, for counting.
+    /// The number of orders sent.
     pub orders_sent: u32,
-    /// What a gateway of each zone has to refuse: zone, model, requests a second.
+    /// The unmet demand that a gateway of each zone reports: zone, model, requests per second.
     pub unmet: Vec<(ZoneName, ModelName, f64)>,
-    /// Whether second copies of orders are about, which may bring back what nobody counts.
+    /// Whether duplicates of orders were sent, which may load a model again that the log doesn't count.
     has_duplicates: bool,
     in_flight: Vec<OrderInFlight>,
     ticks: u64,
 }
 
 impl World {
-    /// Makes zones with two entry VMs and two engines each: one checks fencing numbers, one doesn't.
+    /// Creates zones with two entry VMs and two engines each. The first engine checks fencing numbers, the
+    /// second doesn't.
     pub fn new(zones: &[&str], capacity: u64) -> Self {
         let start = Instant::now();
         let mut engines = BTreeMap::new();
@@ -303,10 +304,10 @@
 
     fn log_time(&self) -> LogTime {
         let ms = self.now.duration_since(self.start).as_millis();
-        LogTime(u64::try_from(ms).expect("a test is short"))
+        LogTime(u64::try_from(ms).expect("the simulated time fits in 64 bits"))
     }
 
-    /// Appends a record as an operator does, and gives its offset and fate.
+    /// Appends a record on behalf of an operator, and returns its offset and the result of applying it.
     pub fn append(&mut self, record: Record) -> (Offset, limehollow::Result<()>) {
         self.append_content(Content::Record(record))
     }
@@ -327,7 +328,7 @@
         (offset, res)
     }
 
-    /// Appends a snapshot and lets the log forget all before it.
+    /// Appends a snapshot and drops all earlier entries from the log.
     pub fn snapshot_and_truncate(&mut self) {
         let fleet = Box::new(self.reference.fleet().clone());
         let next = fleet.next_offset();
@@ -364,7 +365,7 @@
             .collect()
     }
 
-    /// Publishes an intent, waits for its plan, and confirms it.
+    /// Publishes an intent, waits for the plan, and confirms the plan.
     pub fn confirm(&mut self, intent: Intent) -> Offset {
         let (offset, res) = self.append(Record::Intent(intent));
         res.expect("the intent is valid");
@@ -375,17 +376,23 @@
         });
         let refusal = self.fleet().plan_refusal();
         assert!(found, "no plan came for intent {offset}: {refusal:?}");
-        let plan = self.fleet().proposed_plan().expect("just seen").offset;
+        let plan = self
+            .fleet()
+            .proposed_plan()
+            .expect("a plan was proposed above")
+            .offset;
         let answer = Answer {
             plan,
             operator: "ana".into(),
             kind: AnswerKind::Confirm,
         };
-        self.append(Record::Answer(answer)).1.expect("nobody raced");
+        self.append(Record::Answer(answer))
+            .1
+            .expect("no other answer was appended");
         plan
     }
 
-    /// Tells whether the plan in force is carried out.
+    /// Returns `true` if the plan in force is carried out.
     pub fn is_settled(&self) -> bool {
         self.fleet().is_carried_out()
     }
@@ -411,7 +418,7 @@
         f(self)
     }
 
-    /// Advances all by one tick and checks what must always hold.
+    /// Advances the simulation by one tick and checks the invariants.
     pub fn tick(&mut self) {
         self.now += TICK;
         self.ticks += 1;
@@ -480,7 +487,7 @@
 
     fn run_controller(&mut self, i: usize) {
         let now = self.now;
-        // A process that wakes up first does what it had decided before it was paused.
+        // A process that resumes first sends the orders that it had decided to send before the pause.
         for order in std::mem::take(&mut self.controllers[i].unsent) {
             self.send(i, order);
         }
@@ -541,7 +548,7 @@
 
     fn read_log(&mut self, i: usize) {
         let c = &mut self.controllers[i];
-        let from = usize::try_from(c.replay.next_to_read().0).expect("small");
+        let from = usize::try_from(c.replay.next_to_read().0).expect("the offset fits in a usize");
         for entry in &self.log[from.max(self.retained_from).min(self.log.len())..] {
             c.replay.push_entry(entry.clone());
         }
@@ -549,7 +556,7 @@
         let next = c.replay.fleet().next_offset();
         assert!(
             next >= c.highest,
-            "{} went from {} back to {next}",
+            "the offset of {} fell from {} to {next}",
             c.name,
             c.highest
         );
@@ -562,8 +569,8 @@
             self.faults.drop_appends -= 1;
             return;
         }
-        // Whether the answer gets through makes no difference here: both ways the controller reads
-        // on before it decides again.
+        // A lost answer makes no difference here: in both cases the controller reads the log before it
+        // decides again.
         self.faults.lose_append_answers = self.faults.lose_append_answers.saturating_sub(1);
         for r in records {
             let _void = self.append(r);
@@ -609,7 +616,7 @@
         self.controllers[i].driver.on_send_result(now, number, res);
     }
 
-    /// Answers the calls that a controller made at its last tick.
+    /// Answers the calls that a controller made at the last tick.
     fn answer_calls(&mut self, i: usize) {
         let now = self.now;
         for call in std::mem::take(&mut self.controllers[i].calls) {
@@ -640,7 +647,7 @@
         }
     }
 
-    /// Checks what must hold at every instant, on what the engines hold.
+    /// Checks the invariants that must hold at every tick, on the engines' contents.
     fn check(&self) {
         let at = self.now.duration_since(self.start);
         for (name, e) in &self.engines {
@@ -662,7 +669,7 @@
         }
     }
 
-    /// Checks that the log counts all that an engine holds: it may count too much, never too little.
+    /// Checks that the log counts every model that an engine holds. It may count more, but never less.
     fn check_all_counted(&self) {
         if self.has_duplicates {
             return;
@@ -675,7 +682,10 @@
             };
             for m in e.models.keys() {
                 let counted = known.accelerators[0].replicas.contains_key(m);
-                assert!(counted, "{at:?}: {name} holds {m:?}, which nobody counts");
+                assert!(
+                    counted,
+                    "{at:?}: {name} holds {m:?}, which the log doesn't count"
+                );
             }
         }
     }
@@ -689,12 +699,12 @@
         })
     }
 
-    /// Counts the orders that are on their way.
+    /// Returns the number of orders in flight.
     pub fn orders_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Gives the index of the controller that holds a zone's lease.
+    /// Returns the index of the controller that holds a zone's lease.
     pub fn holder(&self, zone: &str) -> Option<usize> {
         let l = self.fleet().lease(&zone.into())?;
         self.controllers
@@ -702,7 +712,7 @@
             .position(|c| c.name == l.holder && c.incarnation == l.incarnation)
     }
 
-    /// Replaces a controller by a new process at the same name.
+    /// Replaces a controller with a new process of the same name.
     pub fn replace(&mut self, i: usize) {
         let (zone, name) = (
             self.controllers[i].zone.clone(),
@@ -712,7 +722,7 @@
         self.controllers[i] = controller(self.now, zone.as_str(), name.as_str(), incarnation);
     }
 
-    /// Ends all faults.
+    /// Ends all faults, restarts dead controllers and resumes paused ones.
     pub fn end_faults(&mut self) {
         self.faults = Faults::default();
         for i in 0..self.controllers.len() {
@@ -724,7 +734,7 @@
         }
     }
 
-    /// Takes all served models as ones that have to be reachable from now on.
+    /// Requires all models of the confirmed intent to be reachable from now on.
     pub fn require_reachable(&mut self) {
         let Some(i) = self.fleet().confirmed_intent() else {
             return;
@@ -751,7 +761,7 @@
     }
 }
 
-/// Says what keeps a plan from being carried out.
+/// Describes what is left to do before the plan in force is carried out.
 pub fn describe_unfinished(w: &World) -> Vec<String> {
     let f = w.fleet();
     let open = f
