--- a/crates/limehollow/tests/records/mod.rs
+++ b/crates/limehollow/tests/records/mod.rs
@@ -1,4 +1,4 @@
-//! Records and fleets that several test files start from.
+//! Builders of records and fleets that are shared by several test files.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -11,7 +11,7 @@
     OrderSettled, Outcome, Record, Resident,
 };
 
-/// A fleet with the log that made it; each record comes one second after the last.
+/// A fleet and the position of its log; each record is appended one second after the previous one.
 #[derive(Clone, Debug, Default)]
 pub struct TestLog {
     pub fleet: Fleet,
@@ -20,9 +20,9 @@
 }
 
 impl TestLog {
-    /// Zone `a` with a lease and two endpoints of one accelerator of 100 bytes each: `fenced` checks
-    /// fencing numbers, `open` doesn't. Models `m` (40 bytes), `n` (50) and the adapter `x` (5) on `m`
-    /// are confirmed.
+    /// Creates zone `a` with a lease and two endpoints that have one accelerator of 100 bytes each. `fenced`
+    /// checks fencing numbers, `open` doesn't. The confirmed intent has the models `m` (40 bytes) and `n` (50)
+    /// and the adapter `x` (5) on `m`.
     pub fn with_endpoints() -> Self {
         let mut s = Self::default();
         s.ok(lease("vm-1", None));
@@ -43,7 +43,7 @@
         res
     }
 
-    /// Applies a record that has to take effect, and gives its offset.
+    /// Applies a record that has to take effect, and returns its offset.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "calls read better without a reference"
@@ -55,7 +55,7 @@
         offset
     }
 
-    /// Applies a record that has to be void, and gives why.
+    /// Applies a record that has to be void, and returns the reason.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "calls read better without a reference"
@@ -78,7 +78,7 @@
         plan
     }
 
-    /// Loads a model and settles the order as done.
+    /// Issues an order to load a model, and settles it as done.
     pub fn load(&mut self, endpoint: &str, name: &str, bytes: u64) -> Offset {
         let o = self.ok(order(endpoint, Action::Load, name, "1", bytes));
         self.ok(settled(o, Outcome::Done, Evidence::EffectSeen));
