--- a/crates/limehollow/tests/fleet.rs
+++ b/crates/limehollow/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fold of the log: which records take effect and which are void, and why.
+//! Tests of [`Fleet`]: which records take effect, which are void, and for what reason.
 
 mod records;
 
@@ -58,7 +58,7 @@
 
 #[test]
 fn order_memory() {
-    // What is on its way counts, and so does what is on its way out.
+    // Replicas that are being loaded count, and so do replicas that are being unloaded.
     let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     let load_n = s.ok(order("open", Load, "n", "1", 50));
@@ -78,7 +78,7 @@
         s.void(order("fenced", Load, "big", "1", 70)),
         "fenced/0 has 60 bytes free, 70 are needed"
     );
-    // An order can't understate what operators confirmed.
+    // An order can't reserve less memory than the confirmed intent states.
     assert_eq!(
         s.void(order("fenced", Load, "big", "1", 1)),
         "fenced/0 has 60 bytes free, 70 are needed"
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn unload_may_come_twice() {
-    // At an endpoint that takes any order a second copy of an unload can take a new replica away.
+fn unload_duplicate_may_arrive() {
+    // At an endpoint that doesn't check fencing numbers, a duplicate of an unload can remove a new replica.
     for (endpoint, is_void) in [("open", true), ("fenced", false)] {
         let mut s = TestLog::with_endpoints();
         s.load("open", "m", 40);
@@ -154,8 +154,9 @@
 }
 
 #[test]
-fn load_may_come_twice() {
-    // A second copy of a load can bring back what was unloaded: its memory stays reserved that long.
+fn load_duplicate_may_arrive() {
+    // A duplicate of a load can load an unloaded model again, so its memory stays reserved until the
+    // duplicate can't arrive any more.
     for (endpoint, free) in [("open", 60), ("fenced", 100)] {
         let mut s = TestLog::with_endpoints();
         s.load("open", "m", 40);
@@ -168,7 +169,7 @@
         match (free, res) {
             (100, res) => assert_eq!(res, Ok(())),
             (_, res) => {
-                let why = res.expect_err("the copy would not fit").to_string();
+                let why = res.expect_err("the duplicate would not fit").to_string();
                 assert_eq!(why, "open/0 has 60 bytes free, 100 are needed");
             }
         }
@@ -198,7 +199,7 @@
 
 #[test]
 fn replica_counts_by_state() {
-    // Memory counts all three states; reachability only the one that is sure.
+    // Memory accounting includes all three states, reachability only ready replicas.
     let mut s = TestLog::with_endpoints();
     let used = |s: &TestLog| s.fleet.accelerator(&place("open")).map(Accelerator::used);
     let load = s.ok(order("open", Load, "m", "1", 40));
@@ -230,14 +231,14 @@
     let mut s = TestLog::with_endpoints();
     let o = s.ok(order("open", Load, "m", "1", 40));
     s.ok(seen("open", false, 2, Vec::new()));
-    let e = s.fleet.endpoint("open").expect("it is known");
+    let e = s.fleet.endpoint("open").expect("the endpoint is known");
     assert_eq!((e.pending, e.accelerators[0].used()), (Some(o), 40));
 }
 
 #[test]
 fn endpoint_restarted_twice_with_open_unload() {
-    // After the first restart there is nothing left to unload, but the order may still come: nothing
-    // else is ordered before its outcome is known.
+    // After the first restart the replica is gone, but the unload may still arrive, so no other order is
+    // admitted before its outcome is known.
     let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.load("fenced", "m", 40);
@@ -248,7 +249,7 @@
 }
 
 #[test]
-fn endpoint_that_left_takes_no_load() {
+fn endpoint_left_admits_no_load() {
     for (departure, presence) in [
         (Departure::Leaving, Presence::Leaving),
         (Departure::Gone, Presence::Gone),
@@ -353,9 +354,14 @@
 
 #[test]
 fn intent_change_raced() {
-    // Two operators change the same intent: the earlier stands, the later is told whose it was.
+    // Two operators change the same intent: the first change takes effect, and the error of the second one
+    // names the first operator.
     let mut s = TestLog::with_endpoints();
-    let latest = s.fleet.latest_intent().expect("there is one").clone();
+    let latest = s
+        .fleet
+        .latest_intent()
+        .expect("an intent was published")
+        .clone();
     let change = |operator: &str, set: Vec<ModelIntent>| {
         let mut new = latest.intent.clone();
         new.operator = operator.into();
@@ -372,16 +378,16 @@
             latest.offset
         )
     );
-    let now = s.fleet.latest_intent().expect("there is one");
+    let now = s.fleet.latest_intent().expect("an intent was published");
     assert!(now.intent.model("p").is_some() && now.intent.model("q").is_none());
     assert!(
         now.intent.model("m").is_some(),
-        "what the change doesn't name stays"
+        "models that the change doesn't name stay"
     );
 }
 
 #[test]
-fn intent_change_is_small_and_whole() {
+fn intent_change_round_trip() {
     let old = intent(vec![
         model("m", "1", 40),
         model("n", "1", 50),
@@ -401,7 +407,7 @@
 }
 
 #[test]
-fn plan_changes_only_what_it_names() {
+fn plan_keeps_targets_of_unchanged_models() {
     let target = |name: &str, endpoint: &str| Target {
         zone: "a".into(),
         place: place(endpoint),
@@ -414,7 +420,7 @@
             model("n", "1", 50),
         ])));
         let Record::Plan(mut p) = plan(i) else {
-            unreachable!("it makes a plan")
+            unreachable!("the helper returns a plan")
         };
         p.base = s.fleet.plan_in_force().map(|p| p.offset);
         p.changed = changed.iter().map(|n| (*n).into()).collect();
@@ -489,28 +495,28 @@
 }
 
 #[test]
-fn offset_backwards() {
+fn offset_stale() {
     let mut s = TestLog::with_endpoints();
     let before = s.fleet.clone();
     let res = s
         .fleet
         .apply(Offset(2), LogTime(0), &lease("vm-9", Some(0)));
-    let e = res.expect_err("it is not after what is in force");
+    let e = res.expect_err("the offset was already applied");
     assert_eq!(e.category(), Category::Overtaken);
     assert_eq!(s.fleet, before, "nothing changed");
 }
 
 #[test]
 fn version_never_reverts() {
-    // Once the confirmed version was ready in a zone, the old one gets no work there any more, also
-    // if the new replica is lost.
+    // Once the confirmed version was ready in a zone, the old version gets no requests there any more, even
+    // if the replica of the new version is lost.
     let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.confirm(intent(vec![model("m", "2", 40), model("n", "1", 50)]));
     assert_eq!(
         s.fleet.ready_replicas("m").collect::<Vec<_>>(),
         [place("open")],
-        "until the new one is ready"
+        "the old version serves until the new one is ready"
     );
     let o = s.ok(order("fenced", Load, "m", "2", 40));
     s.ok(settled(o, Outcome::Done, Evidence::EffectSeen));
@@ -539,7 +545,7 @@
 }
 
 #[test]
-fn void_records_still_move_on() {
+fn void_record_advances_offset() {
     let mut s = TestLog::with_endpoints();
     let before = s.fleet.next_offset();
     s.void(order("nowhere", Load, "m", "1", 40));
@@ -548,12 +554,12 @@
 }
 
 #[test]
-fn state_survives_its_text() {
+fn state_json_round_trip() {
     let mut s = TestLog::with_endpoints();
     s.load("open", "m", 40);
     s.ok(order("open", Load, "x", "1", 5));
-    let text = serde_json::to_string(&s.fleet).expect("it can be written");
-    let back: Fleet = serde_json::from_str(&text).expect("it can be read");
+    let text = serde_json::to_string(&s.fleet).expect("the state can be serialized");
+    let back: Fleet = serde_json::from_str(&text).expect("the state can be deserialized");
     assert_eq!(back, s.fleet);
     let replica = back
         .replica(&place("open"), &version("x", "1"))
