--- a/crates/limehollow/tests/events.rs
+++ b/crates/limehollow/tests/events.rs
@@ -1,4 +1,4 @@
-//! Any sequence of records at all: the fold keeps its promises.
+//! Property tests: [`Fleet`] keeps its invariants for arbitrary sequences of records.
 
 mod records;
 
@@ -19,7 +19,7 @@
     Evidence::DelayPassed,
 ];
 
-/// Makes a record of four bytes.  The epoch is sometimes an old one, and so is the incarnation.
+/// Builds a record from four bytes. Some records have an outdated epoch or a new incarnation.
 fn record(s: &TestLog, bytes: [u8; 4]) -> Record {
     let [kind, which, what, how] = bytes.map(usize::from);
     let endpoint = ENDPOINTS[which % 2];
@@ -96,8 +96,8 @@
     }
 }
 
-/// Tells whether a record takes a replica out of reach by limehollow's own doing.
-fn is_own_doing(r: &Record) -> bool {
+/// Returns `true` if a record is an action of limehollow itself, as opposed to an observed change.
+fn is_own_action(r: &Record) -> bool {
     matches!(
         r,
         Record::OrderIssued(_) | Record::OrderSettled(_) | Record::LeaseTaken(_)
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn any_records_keep_promises() {
+fn any_records_keep_invariants() {
     check!()
         .with_iterations(30_000)
         .with_type::<Vec<[u8; 4]>>()
@@ -126,8 +126,8 @@
                 if res.is_err() {
                     assert_eq!(ready, ready_before, "a void record changed something");
                 }
-                if ready_before > 0 && is_own_doing(&r) {
-                    assert!(ready > 0, "{r:?} took the last ready replica away");
+                if ready_before > 0 && is_own_action(&r) {
+                    assert!(ready > 0, "{r:?} removed the last ready replica");
                 }
             }
         });
@@ -135,7 +135,7 @@
 
 #[test]
 fn any_records_give_one_state() {
-    // Two readers, one of which was restored from the other's text half-way, agree to the byte.
+    // Two readers, one of which is restored half-way from the other's serialized state, have equal states.
     check!()
         .with_iterations(5_000)
         .with_type::<Vec<[u8; 4]>>()
@@ -145,8 +145,9 @@
             let mut other: Option<TestLog> = None;
             for (i, bytes) in input.iter().take(100).enumerate() {
                 if i == half {
-                    let text = serde_json::to_string(&s.fleet).expect("it can be written");
-                    let fleet = serde_json::from_str(&text).expect("it can be read");
+                    let text =
+                        serde_json::to_string(&s.fleet).expect("the state can be serialized");
+                    let fleet = serde_json::from_str(&text).expect("the state can be deserialized");
                     other = Some(TestLog { fleet, ..s.clone() });
                 }
                 let r = record(&s, *bytes);
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn reachable_only_what_is_sure() {
+fn ready_replicas_are_ready_and_live() {
     check!()
         .with_iterations(10_000)
         .with_type::<Vec<[u8; 4]>>()
@@ -171,11 +172,14 @@
                 let _void = s.next(&r);
                 for (name, _) in MODELS {
                     for p in s.fleet.ready_replicas(name) {
-                        let e = s.fleet.endpoint(p.endpoint.as_str()).expect("it is known");
+                        let e = s
+                            .fleet
+                            .endpoint(p.endpoint.as_str())
+                            .expect("the endpoint is known");
                         let replica = s
                             .fleet
                             .replica(&p, &records::version(name, "1"))
-                            .expect("it is there");
+                            .expect("the replica exists");
                         assert_eq!(
                             (e.presence, replica.state),
                             (Presence::Live, ReplicaState::Ready)
