--- a/crates/limehollow/tests/replay.rs
+++ b/crates/limehollow/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Following the log over gaps, snapshots and repeats.
+//! Tests of [`Replay`]: gaps, snapshots and repeated entries.
 
 mod records;
 
@@ -64,29 +64,29 @@
 }
 
 #[test]
-fn feed_from_any_point() {
-    // Whatever the log has forgotten below the snapshot's reach, the state is the same in the end.
+fn push_entry_from_any_offset() {
+    // However many entries below the snapshot's offset the log has dropped, the final state is the same.
     for retained_from in 0..=8 {
         let mut r = Replay::default();
         push_all(&mut r, &log()[retained_from..]);
-        assert!(!r.has_gap(), "kept from {retained_from}");
-        assert_eq!(r.fleet(), full().fleet(), "kept from {retained_from}");
+        assert!(!r.has_gap(), "retained from {retained_from}");
+        assert_eq!(r.fleet(), full().fleet(), "retained from {retained_from}");
     }
 }
 
 #[test]
-fn feed_snapshot_too_late() {
-    // A snapshot up to offset 8 doesn't help where the log begins at 9.
+fn push_entry_snapshot_below_gap() {
+    // A snapshot up to offset 8 doesn't cover the gap if the log begins at 9.
     let mut r = Replay::default();
     push_all(&mut r, &log()[9..]);
     assert!(r.has_gap());
-    // What the snapshot says is in force; nothing beyond the gap is.
+    // The snapshot is applied, but no entry beyond the gap.
     assert_eq!(r.fleet().next_offset(), Offset(8));
 }
 
 #[test]
-fn feed_sleeping_reader() {
-    // A reader slept while the log forgot what it needed next.
+fn push_entry_after_pause() {
+    // A reader was paused while the log dropped the entries that it needed next.
     let log = log();
     let mut r = Replay::default();
     push_all(&mut r, &log[..3]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn feed_twice() {
+fn push_entry_twice() {
     let mut r = full();
     let before = r.fleet().clone();
     push_all(&mut r, &log());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn feed_unknown_record() {
+fn push_entry_unknown_record() {
     let mut r = Replay::default();
     r.push_entry(entry(0, Content::Record(lease("vm-1", None))));
     r.push_entry(entry(1, Content::Unknown));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn adopt_never_backwards() {
+fn install_snapshot_older() {
     let mut old = Replay::default();
     push_all(&mut old, &log()[..4]);
     let mut r = full();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn adopt_from_peer_over_gap() {
+fn install_snapshot_from_peer_over_gap() {
     let log = log();
     let mut peer = Replay::default();
     push_all(&mut peer, &log[..10]);
@@ -144,7 +144,7 @@
 
 #[test]
 fn snapshot_due_by_records() {
-    // 500 records, or five for each endpoint of a large fleet.
+    // A snapshot is due after 500 records, or five per endpoint in a large fleet.
     for (endpoints, every) in [(0, 500), (300, 1_500)] {
         let mut r = Replay::default();
         r.push_entry(entry(0, Content::Record(lease("vm-1", None))));
