--- a/crates/limehollow/tests/orders_in_doubt.rs
+++ b/crates/limehollow/tests/orders_in_doubt.rs
@@ -1,4 +1,4 @@
-//! Orders whose outcome isn't known: what each kind of evidence allows, and what it doesn't.
+//! Orders whose outcome isn't known: which evidence settles them, and which doesn't.
 
 mod world;
 
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use world::{ProcessState, World, describe_unfinished, intent, model};
 
-/// One zone with an engine that checks fencing numbers (`engine-a1`) and one that doesn't
-/// (`engine-a2`), with one model ready on each.
+/// Creates one zone with an engine that checks fencing numbers (`engine-a1`) and one that doesn't
+/// (`engine-a2`), and waits until model `m` is ready on both.
 fn world_with_two_engines() -> World {
     let mut w = World::new(&["a"], 60);
     w.confirm(intent(vec![model("m", "1", 30, 2)]));
@@ -43,7 +43,7 @@
         .count()
 }
 
-/// Gives how the last order at an endpoint was settled.
+/// Returns the outcome and the evidence of the last settled order at an endpoint.
 fn last_settled(w: &World, endpoint: &str) -> Option<(Outcome, Evidence)> {
     let of_endpoint = w
         .fleet()
@@ -53,10 +53,11 @@
     Some((settled.outcome, settled.evidence))
 }
 
-/// Leaves one engine, with `m` on it, and pauses the holder just before it sends the load of `n`.
+/// Stops one engine, keeps the other with `m` on it, and pauses the lease holder just before it sends the
+/// load of `n`.
 fn world_paused_at_send(gone: &str) -> World {
     let mut w = world_with_two_engines();
-    w.engines.get_mut(gone).expect("it is there").up = false;
+    w.engines.get_mut(gone).expect("the engine exists").up = false;
     w.must_be_reachable.clear();
     w.run(Duration::from_secs(20));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
@@ -72,9 +73,9 @@
 
 #[test]
 fn paused_sender_unfenced() {
-    // The holder is paused just before it sends, for longer than any order may be on its way. Its
-    // successor must not settle the order before the sender has read the takeover: it can still come.
-    // Only the engine that takes any order is left.
+    // The lease holder is paused just before it sends an order, for longer than an order may be in flight.
+    // Its successor must not settle the order before the paused sender has read the takeover, since the
+    // sender may still send it. Only the engine that doesn't check fencing numbers is left.
     let mut w = world_paused_at_send("engine-a1");
     w.run(Duration::from_secs(900));
     assert_eq!(
@@ -85,7 +86,7 @@
     let reserved = w
         .fleet()
         .endpoint("engine-a2")
-        .expect("it is there")
+        .expect("the engine exists")
         .accelerators[0]
         .used();
     assert_eq!(reserved, 50);
@@ -99,7 +100,7 @@
 
 #[test]
 fn paused_sender_fenced() {
-    // With fencing the successor settles at once, and the late order is refused.
+    // With fencing the successor settles the order at once, and the engine refuses the late order.
     let mut w = world_paused_at_send("engine-a2");
     let done = w.run_until(Duration::from_secs(30), World::is_settled);
     assert!(done, "the successor did not go on");
@@ -107,7 +108,9 @@
         .fleet()
         .orders()
         .find(|(_, o)| o.model.name.as_str() == "n");
-    let first = first.and_then(|(_, o)| o.settled).expect("it is settled");
+    let first = first
+        .and_then(|(_, o)| o.settled)
+        .expect("the order is settled");
     assert_eq!(
         (first.outcome, first.evidence),
         (Outcome::NotDone, Evidence::Fenced)
@@ -119,10 +122,13 @@
 
 #[test]
 fn lost_order_unfenced() {
-    // Nothing shows that a lost order won't still arrive: it stays open for the longest delay, its
-    // memory reserved and its replica uncounted.
+    // A lost order may still arrive, so it stays unsettled for the longest delay. Meanwhile its memory is
+    // reserved and its replica isn't routable.
     let mut w = world_with_two_engines();
-    w.engines.get_mut("engine-a1").expect("it is there").up = false;
+    w.engines
+        .get_mut("engine-a1")
+        .expect("the engine exists")
+        .up = false;
     w.must_be_reachable.clear();
     w.run(Duration::from_secs(20));
     w.faults.drop_orders = 1;
@@ -147,9 +153,9 @@
 }
 
 #[test]
-fn doubled_unload_unfenced() {
-    // A second copy of an unload comes after the model was wanted back. The new replica must not
-    // count as the one that lets the last other one go.
+fn duplicate_unload_unfenced() {
+    // A duplicate of an unload arrives after the model was requested again. While the duplicate may remove
+    // the new replica, the other replica must not be unloaded on its account.
     let mut w = world_with_two_engines();
     w.faults.duplicate_orders = Some(Duration::from_secs(120));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
@@ -168,30 +174,34 @@
     assert!(holds(&w, kept));
     w.confirm(intent(vec![model("m", "1", 30, 2), model("n", "1", 20, 1)]));
     w.run(Duration::from_secs(60));
-    // Back to one replica: whichever goes, m stays reachable over the second copy's arrival.
+    // Back to one replica: whichever one is unloaded, m stays reachable when the duplicate arrives.
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 20, 1)]));
     settle(&mut w, 1200);
 }
 
 #[test]
-fn doubled_load_unfenced() {
-    // A second copy of a load comes after the model was unloaded again and another wants its place.
+fn duplicate_load_unfenced() {
+    // A duplicate of a load arrives after the model was unloaded and another model is to take its memory.
     let mut w = world_with_two_engines();
     w.faults.duplicate_orders = Some(Duration::from_secs(100));
     w.confirm(intent(vec![model("m", "1", 30, 2), model("n", "1", 30, 2)]));
     settle(&mut w, 60);
     w.faults.duplicate_orders = None;
     w.confirm(intent(vec![model("m", "1", 30, 2), model("o", "1", 30, 2)]));
-    // The world checks each engine's memory at every tick, and the copies arrive on the way.
+    // The duplicates arrive while the plan is carried out; the world checks each engine's memory at every
+    // tick.
     settle(&mut w, 1500);
 }
 
 #[test]
 fn late_order_after_restart_fenced() {
-    // The engine restarts empty and has forgotten its fencing number; an order from before comes.
+    // The engine restarts empty and without its fencing number, and an order from before the restart arrives.
     let mut w = world_with_two_engines();
     w.must_be_reachable.clear();
-    w.engines.get_mut("engine-a2").expect("it is there").up = false;
+    w.engines
+        .get_mut("engine-a2")
+        .expect("the engine exists")
+        .up = false;
     w.run(Duration::from_secs(20));
     w.faults.delay_orders = Some(Duration::from_secs(30));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 30, 1)]));
@@ -199,7 +209,7 @@
     w.faults.delay_orders = None;
     w.engines
         .get_mut("engine-a1")
-        .expect("it is there")
+        .expect("the engine exists")
         .restart();
     w.run(Duration::from_secs(60));
     settle(&mut w, 600);
@@ -207,16 +217,19 @@
 
 #[test]
 fn late_order_after_settled_and_restart_fenced() {
-    // An order is late; it is settled by fencing, and its model isn't wanted any more. Then the engine
-    // restarts and forgets the fence: it has to be fenced again before it counts as found.
+    // A late order is settled by fencing, and its model is removed from the intent. Then the engine restarts
+    // and loses its fencing number: it has to be fenced again before it is recorded as seen.
     let mut w = world_with_two_engines();
     w.must_be_reachable.clear();
-    w.engines.get_mut("engine-a2").expect("it is there").up = false;
+    w.engines
+        .get_mut("engine-a2")
+        .expect("the engine exists")
+        .up = false;
     w.run(Duration::from_secs(20));
     w.faults.delay_orders = Some(Duration::from_secs(60));
     w.confirm(intent(vec![model("m", "1", 30, 1), model("n", "1", 30, 1)]));
     let sent = w.run_until(Duration::from_secs(10), |w| w.orders_in_flight() > 0);
-    assert!(sent, "the load of n is on its way");
+    assert!(sent, "the load of n is in flight");
     w.faults.delay_orders = None;
     w.faults.drop_orders = u32::MAX;
     w.run(Duration::from_secs(10));
@@ -224,14 +237,14 @@
         last_settled(&w, "engine-a1"),
         Some((Outcome::NotDone, Evidence::Fenced))
     );
-    // Nothing is wanted any more, so no later order fences the engine by the way.
+    // The intent is empty, so no later order raises the engine's fencing number.
     w.faults.drop_orders = 0;
     w.confirm(intent(Vec::new()));
     w.run(Duration::from_secs(15));
     assert_eq!((open_orders(&w), w.orders_in_flight()), (0, 1));
     w.engines
         .get_mut("engine-a1")
-        .expect("it is there")
+        .expect("the engine exists")
         .restart();
     w.run(Duration::from_secs(120));
     assert_eq!(w.orders_in_flight(), 0);
@@ -239,9 +252,9 @@
 }
 
 #[test]
-fn lost_answer_with_stale_look_fenced() {
-    // The answer to a load is lost, and the next look is from before it: that look is no evidence.
-    // The world checks at each tick that the log counts what the engine holds.
+fn lost_answer_with_stale_observation_fenced() {
+    // The answer to a load is lost, and the next observation is older than the load, so it is no evidence.
+    // The world checks at each tick that the log counts every model that the engine holds.
     for answers in 1..4 {
         let mut w = world_with_two_engines();
         w.faults.lose_order_answers = answers;
@@ -267,7 +280,7 @@
     assert_eq!(
         w.fleet().ready_replicas("m").count(),
         1,
-        "it gets no new work"
+        "the replica to unload gets no new work"
     );
     for e in w.engines.values_mut() {
         e.running.clear();
@@ -277,7 +290,7 @@
 
 #[test]
 fn order_before_takeover_is_known() {
-    // All that an old holder may still send is in the log before the takeover.
+    // Every order that a former holder may still send is in the log before the takeover.
     let mut w = World::new(&["a"], 60);
     w.faults.pause_at_send = true;
     w.confirm(intent(vec![model("m", "1", 30, 2)]));
@@ -297,7 +310,7 @@
         .count();
     assert!(
         loading >= 1 || w.is_settled(),
-        "the order in doubt keeps its memory"
+        "the memory of the unsettled order stays reserved"
     );
     w.end_faults();
     settle(&mut w, 900);
