--- a/crates/limehollow/tests/repairs.rs
+++ b/crates/limehollow/tests/repairs.rs
@@ -1,4 +1,5 @@
-//! Repairs within the confirmed intent, and what they cost in moves.
+//! Repairs within the confirmed intent: whether they are made, how long they take and how many moves they
+//! cost.
 
 mod world;
 
@@ -11,8 +12,8 @@
     Duration::from_secs(s)
 }
 
-/// Three zones with room to spare; models `m` and `n` with two replicas each.
-fn up() -> World {
+/// Creates three zones with spare memory, and models `m` and `n` with two ready replicas each.
+fn settled_world() -> World {
     let mut w = World::new(&["a", "b", "c"], 60);
     w.confirm(intent(vec![model("m", "1", 20, 2), model("n", "1", 20, 2)]));
     let settled = w.run_until(secs(60), World::is_settled);
@@ -22,17 +23,17 @@
     w
 }
 
-/// Gives an engine that holds a model, and its zone.
+/// Returns an engine that holds a model, and the engine's zone.
 fn holder_of(w: &World, name: &str) -> (VmName, String) {
     let place = w
         .fleet()
         .ready_replicas(name)
         .next()
-        .expect("it is ready somewhere");
+        .expect("a replica is ready");
     let zone = w
         .fleet()
         .endpoint(place.endpoint.as_str())
-        .expect("it is known")
+        .expect("the endpoint is known")
         .zone
         .to_string();
     (place.endpoint, zone)
@@ -48,8 +49,8 @@
 }
 
 #[test]
-fn replica_that_vanished() {
-    let mut w = up();
+fn replica_vanished() {
+    let mut w = settled_world();
     let before = w.fleet().moves_done();
     let (e, _) = holder_of(&w, "m");
     let version = ModelVersion {
@@ -58,10 +59,10 @@
     };
     w.engines
         .get_mut(&e)
-        .expect("it is there")
+        .expect("the engine exists")
         .models
         .remove(&version);
-    // One of two is gone; the other one keeps it reachable while it comes back.
+    // One of two replicas is gone; the other one keeps the model reachable until the lost one is reloaded.
     w.must_be_reachable.clear();
     w.run(secs(10));
     w.require_reachable();
@@ -75,11 +76,11 @@
 
 #[test]
 fn engine_restarted_empty() {
-    let mut w = up();
+    let mut w = settled_world();
     let before = w.fleet().moves_done();
     let (e, _) = holder_of(&w, "m");
     let held = w.engines[&e].models.len() as u64;
-    w.engines.get_mut(&e).expect("it is there").restart();
+    w.engines.get_mut(&e).expect("the engine exists").restart();
     w.run(secs(30));
     assert_eq!(
         (ready(&w, "m"), ready(&w, "n")),
@@ -92,11 +93,11 @@
 
 #[test]
 fn engine_gone_and_back() {
-    let mut w = up();
+    let mut w = settled_world();
     let (e, zone) = holder_of(&w, "m");
     let held = w.engines[&e].models.len() as u64;
     let before = w.fleet().moves_done();
-    w.engines.get_mut(&e).expect("it is there").up = false;
+    w.engines.get_mut(&e).expect("the engine exists").up = false;
     w.run(secs(60));
     assert_eq!(
         (ready(&w, "m"), ready(&w, "n")),
@@ -111,11 +112,11 @@
     };
     assert!(
         w.fleet().ready_replicas("m").any(|p| in_zone(&p)),
-        "its own zone mends it"
+        "the engine's own zone repairs the loss"
     );
     assert_eq!(w.fleet().moves_done(), before + held);
-    // It comes back empty: what was mended isn't moved again.
-    w.engines.get_mut(&e).expect("it is there").restart();
+    // The engine comes back empty: the repaired replicas aren't moved again.
+    w.engines.get_mut(&e).expect("the engine exists").restart();
     w.run(secs(120));
     assert_eq!(
         w.fleet().moves_done(),
@@ -127,7 +128,7 @@
 
 #[test]
 fn engine_leaves() {
-    let mut w = up();
+    let mut w = settled_world();
     let (e, _) = holder_of(&w, "m");
     w.leaving.insert(e.clone());
     w.run(secs(4));
@@ -146,14 +147,14 @@
 
 #[test]
 fn zone_lost() {
-    // All of a zone goes and comes off the list: the others bring up what is short, once.
-    let mut w = up();
+    // A whole zone is lost and taken off the list: the other zones load each missing replica exactly once.
+    let mut w = settled_world();
     let (_, zone) = holder_of(&w, "m");
     let before = w.fleet().moves_done();
     let lost = engines_of(&w, &zone);
     let held: usize = lost.iter().map(|n| w.engines[n].models.len()).sum();
     for n in &lost {
-        w.engines.get_mut(n).expect("it is there").up = false;
+        w.engines.get_mut(n).expect("the engine exists").up = false;
         w.unlisted.insert(n.clone());
     }
     for c in w.controllers.iter_mut().filter(|c| c.zone.as_str() == zone) {
@@ -181,10 +182,13 @@
 }
 
 #[test]
-fn only_replica_gets_a_new_version_in_place() {
-    // One replica on the only engine: the new version beside the old one, and then the old one goes.
+fn only_replica_replaced_by_new_version() {
+    // One replica on the only engine: the new version is loaded beside the old one before that is unloaded.
     let mut w = World::new(&["a"], 60);
-    w.engines.get_mut("engine-a2").expect("it is there").up = false;
+    w.engines
+        .get_mut("engine-a2")
+        .expect("the engine exists")
+        .up = false;
     w.confirm(intent(vec![model("m", "1", 20, 1)]));
     assert!(
         w.run_until(secs(60), World::is_settled),
@@ -201,15 +205,15 @@
 }
 
 #[test]
-fn zone_lost_while_a_replica_is_to_go() {
-    // The log still counts the lost zone's replica as ready; the holder must not let the last one that
-    // is really there go.
-    let mut w = up();
+fn zone_lost_during_unload() {
+    // The log still counts the lost zone's replica as ready. The lease holder must not unload the last
+    // replica that really exists.
+    let mut w = settled_world();
     let (kept, zone) = holder_of(&w, "m");
     let lost = engines_of(&w, &zone);
     w.must_be_reachable.remove("n");
     for n in &lost {
-        w.engines.get_mut(n).expect("it is there").up = false;
+        w.engines.get_mut(n).expect("the engine exists").up = false;
         w.unlisted.insert(n.clone());
     }
     for c in w.controllers.iter_mut().filter(|c| c.zone.as_str() == zone) {
@@ -228,18 +232,18 @@
     );
 }
 
-/// Breaks something, and gives how long a model had less than its two replicas and how many records
-/// the log got, on paused time.
+/// Injects a fault, and returns the simulated time until both models have their two replicas again and the
+/// number of records that were appended.
 fn time_to_repair<F>(what: &str, limit: u64, f: F) -> (Duration, usize)
 where
     F: FnOnce(&mut World, &VmName),
 {
-    let mut w = up();
+    let mut w = settled_world();
     w.must_be_reachable.clear();
     let (e, _) = holder_of(&w, "m");
     let (start, records) = (w.now, w.log.len());
     f(&mut w, &e);
-    // The log has to notice first.
+    // The loss has to be recorded in the log first.
     w.run_until(secs(limit), |w| ready(w, "m") < 2 || ready(w, "n") < 2);
     let whole = w.run_until(secs(limit), |w| ready(w, "m") == 2 && ready(w, "n") == 2);
     assert!(
@@ -258,11 +262,14 @@
 
 #[test]
 fn times_to_repair_are_bounded() {
-    // The world's rules: reports lag 0.6 s, dead after 5 s, repair after 10 s, a load takes 0.8 s.
-    let engine = |w: &mut World, e: &VmName| w.engines.get_mut(e).expect("it is there").restart();
+    // The limits follow from the world's rules: reports lag by 0.6 s, an engine is dead after 5 s, repair
+    // begins after 10 s, and a load takes 0.8 s.
+    let engine =
+        |w: &mut World, e: &VmName| w.engines.get_mut(e).expect("the engine exists").restart();
     let (took, records) = time_to_repair("engine restarted empty", 30, engine);
     assert!(took <= secs(6) && records <= 10, "{took:?} {records}");
-    let down = |w: &mut World, e: &VmName| w.engines.get_mut(e).expect("it is there").up = false;
+    let down =
+        |w: &mut World, e: &VmName| w.engines.get_mut(e).expect("the engine exists").up = false;
     let (took, records) = time_to_repair("engine gone", 60, down);
     assert!(took <= secs(16) && records <= 12, "{took:?} {records}");
     let leaves = |w: &mut World, e: &VmName| {
@@ -271,21 +278,25 @@
     let (took, _) = time_to_repair("engine leaves", 60, leaves);
     assert!(took <= secs(6), "{took:?}");
     let lost = |w: &mut World, e: &VmName| {
-        w.engines.get_mut(e).expect("it is there").models.clear();
+        w.engines
+            .get_mut(e)
+            .expect("the engine exists")
+            .models
+            .clear();
     };
     let (took, _) = time_to_repair("engine lost its models", 30, lost);
     assert!(took <= secs(6), "{took:?}");
     let with_holder = |w: &mut World, e: &VmName| {
         let zone = w.engines[e].zone.to_string();
-        let i = w.holder(&zone).expect("somebody holds it");
+        let i = w.holder(&zone).expect("the lease is held");
         w.controllers[i].state = ProcessState::Dead;
-        w.engines.get_mut(e).expect("it is there").restart();
+        w.engines.get_mut(e).expect("the engine exists").restart();
     };
     let (took, _) = time_to_repair("engine restarted, holder killed", 60, with_holder);
     assert!(took <= secs(16), "{took:?}");
     let log_down = |w: &mut World, e: &VmName| {
         w.faults.log_down = true;
-        w.engines.get_mut(e).expect("it is there").restart();
+        w.engines.get_mut(e).expect("the engine exists").restart();
         w.run(secs(20));
         w.faults.log_down = false;
     };
@@ -294,9 +305,9 @@
 }
 
 #[test]
-fn storm_appends_are_bounded() {
-    // Every engine restarts at once: the records are those of the repairs and no more.
-    let mut w = up();
+fn appends_bounded_when_all_restart() {
+    // All engines restart at once: only the records of the repairs are appended.
+    let mut w = settled_world();
     w.must_be_reachable.clear();
     let (start, records) = (w.now, w.log.len());
     let held: usize = w.engines.values().map(|e| e.models.len()).sum();
@@ -320,8 +331,8 @@
 }
 
 #[test]
-fn nothing_moves_at_rest() {
-    let mut w = up();
+fn no_moves_without_changes() {
+    let mut w = settled_world();
     let (moves, records) = (w.fleet().moves_done(), w.log.len());
     w.run(secs(3600));
     assert_eq!(
