--- a/crates/limehollow/tests/control_faults.rs
+++ b/crates/limehollow/tests/control_faults.rs
@@ -1,7 +1,7 @@
-//! Control under failure: each fault alone and each two together, while a plan is carried out.
+//! Controllers under faults: each single fault and each pair of faults while a plan is carried out.
 //!
-//! At every tick the world checks that no engine holds more than its memory, that each served model
-//! is reachable, and that no controller's offset falls. In the end the plan has to be carried out.
+//! At every tick the world checks that no engine exceeds its memory, that each served model is reachable,
+//! and that no controller's offset decreases. In the end the plan has to be carried out.
 
 mod world;
 
@@ -21,7 +21,7 @@
     ])
 }
 
-/// Two models get new versions, one goes, one comes.
+/// Changes the first intent: one model gets a new version, one is removed and one is added.
 fn second_intent() -> Intent {
     intent(vec![
         model("large", "2", 30, 2),
@@ -32,7 +32,7 @@
     ])
 }
 
-/// What goes wrong. Faults that last are ended by [`World::end_faults`].
+/// A fault to inject. [`World::end_faults`] ends the lasting ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     HolderKilled,
@@ -123,25 +123,25 @@
 fn engine<'w>(w: &'w mut World, zone: &str) -> &'w mut world::Engine {
     w.engines
         .get_mut(format!("engine-{zone}2").as_str())
-        .expect("there is one")
+        .expect("the engine exists")
 }
 
-/// Brings up the first intent, then injects faults while the second is carried out.
+/// Carries out the first intent without faults, then injects faults while the second is carried out.
 fn run_case(faults: &[Fault], after_ms: u64) {
     let zones = ["b", "c"];
     let mut w = World::new(&["a", "b", "c"], CAPACITY);
     w.confirm(first_intent());
     let up = w.run_until(Duration::from_secs(60), World::is_settled);
     assert!(up, "the first plan was not carried out without any fault");
-    // Old orders can't arrive any more.
+    // Wait until duplicates of the orders so far can't arrive any more.
     w.run(Duration::from_secs(301));
     w.require_reachable();
     w.must_be_reachable.remove("old");
     w.confirm(second_intent());
     w.run(Duration::from_millis(after_ms));
     for (fault, zone) in faults.iter().zip(zones) {
-        // A second engine may only fail when the first one's models are elsewhere, which one replica
-        // in each of two zones doesn't promise: both engine faults hit the same zone.
+        // With one replica in each of two zones, a second engine must not fail before the models of the
+        // first one are loaded elsewhere. So both engine faults hit the same zone.
         let zone = if is_engine_fault(*fault) { "b" } else { zone };
         inject(&mut w, *fault, zone);
     }
@@ -171,7 +171,7 @@
     run_case(&[], 0);
 }
 
-/// Runs cases on a few threads; each has a world of its own, so they don't meet.
+/// Runs cases on a few threads; each case has its own world, so they are independent.
 fn run_all(cases: &[(Vec<Fault>, u64)]) {
     const THREADS: usize = 4;
     std::thread::scope(|scope| {
