--- a/crates/limehollow/tests/claim.rs
+++ b/crates/limehollow/tests/claim.rs
@@ -1,11 +1,11 @@
-//! Claims: of all who want to run a request, one may.
+//! Tests of [`Claims`]: only one claimant may run a request.
 
 use bolero::check;
 use limehollow::claim::{ClaimRecord, ClaimState, Claimant, Claims, KeyHash, key_hash};
 use limehollow::id::{LogTime, Offset};
 use std::collections::{BTreeMap, BTreeSet};
 
-const MEMORY: u64 = 1_000;
+const RETENTION_MS: u64 = 1_000;
 
 fn who(vm: &str, number: u64) -> Claimant {
     Claimant {
@@ -24,9 +24,9 @@
     ClaimRecord::Release(key, who(vm, number))
 }
 
-/// Applies one record a batch, each 100 ms after the last.
+/// Applies each record as its own batch, 100 ms after the previous one.
 fn claims(records: &[ClaimRecord]) -> Claims {
-    let mut c = Claims::default().with_retention(MEMORY);
+    let mut c = Claims::default().with_retention(RETENTION_MS);
     for (i, r) in (0..).zip(records) {
         c.apply(Offset(i), LogTime(i * 100), std::slice::from_ref(r));
     }
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn standing_first_wins() {
+fn state_first_claim_wins() {
     let c = claims(&[claim(7, "vm-1", 1), claim(7, "vm-2", 1)]);
     assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
     assert_eq!(c.state(8), ClaimState::Free);
 }
 
 #[test]
-fn standing_within_one_batch() {
+fn state_within_one_batch() {
     let mut c = Claims::default();
     c.apply(
         Offset(0),
@@ -68,17 +68,17 @@
 }
 
 #[test]
-fn forget_by_age() {
+fn evict_by_age() {
     let mut c = claims(&[claim(7, "vm-1", 1)]);
-    c.apply(Offset(1), LogTime(MEMORY - 1), &[]);
+    c.apply(Offset(1), LogTime(RETENTION_MS - 1), &[]);
     assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
-    c.apply(Offset(2), LogTime(MEMORY), &[]);
+    c.apply(Offset(2), LogTime(RETENTION_MS), &[]);
     assert_eq!(c.state(7), ClaimState::Free);
 }
 
 #[test]
-fn forget_claim_made_again() {
-    // Claimed, released, claimed again: the first claim's age must not free the second.
+fn evict_claim_made_again() {
+    // A key is claimed, released and claimed again: the expiry of the first claim must not free the key.
     let mut c = claims(&[claim(7, "vm-1", 1), release(7, "vm-1", 1)]);
     c.apply(Offset(2), LogTime(900), &[claim(7, "vm-2", 1)]);
     c.apply(Offset(3), LogTime(1_100), &[]);
@@ -94,12 +94,12 @@
     assert_eq!(
         c.state(7),
         ClaimState::Free,
-        "a batch that was read again changes nothing"
+        "a batch that is read again changes nothing"
     );
 }
 
 #[test]
-fn key_hash_parts_dont_run_together() {
+fn key_hash_of_different_parts() {
     let pairs = [(["a", "bc"], ["ab", "c"]), (["", "x"], ["x", ""])];
     for (one, two) in pairs {
         assert_ne!(key_hash(&one), key_hash(&two));
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn any_readers_agree_and_one_runs() {
-    // Gateways claim and release a few keys in any order. Each reads the stream up to its own claim
-    // and runs the request only if that one stands. A key that was not released runs once.
+fn any_claims_run_once() {
+    // Gateways claim and release a few keys in any order. Each reads the stream up to its own claim and runs
+    // the request only if that claim is the valid one. A request whose key isn't released runs once.
     check!()
         .with_iterations(30_000)
         .with_type::<Vec<(u8, u8, bool)>>()
@@ -117,7 +117,7 @@
             let mut all = Claims::default();
             let mut ran: BTreeMap<KeyHash, BTreeSet<Claimant>> = BTreeMap::new();
             let mut released: BTreeSet<Claimant> = BTreeSet::new();
-            for (i, (vm, key, gives_back)) in (0_u64..).zip(input.iter().take(100)) {
+            for (i, (vm, key, releases)) in (0_u64..).zip(input.iter().take(100)) {
                 let key = KeyHash::from(key % 3);
                 let me = who(["vm-1", "vm-2", "vm-3"][usize::from(vm % 3)], i);
                 all.apply(
@@ -128,7 +128,7 @@
                 if all.state(key) != ClaimState::Held(me.clone()) {
                     continue;
                 }
-                if *gives_back {
+                if *releases {
                     all.apply(
                         Offset(2 * i + 1),
                         LogTime(i),
