--- a/crates/limehollow/tests/catalog.rs
+++ b/crates/limehollow/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Which rule a request falls under, and which service it goes to.
+//! Tests of [`Catalog`]: the rule that matches a request, and the service that it is routed to.
 
 mod site;
 
@@ -45,7 +45,7 @@
     let r = rule("x.example", "/", &[("one", 90), ("two", 10), ("none", 0)]);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for hash in 0..1000 {
-        let s = r.service(hash).expect("there is a share");
+        let s = r.service(hash).expect("the rule has a share");
         *counts.entry(s.to_string()).or_default() += 1;
     }
     let expected = [("one".to_owned(), 900), ("two".to_owned(), 100)];
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn tightest_objective_of_all_rules() {
+fn shortest_objective_of_all_rules() {
     let mut slow = rule("x.example", "/slow/", &[("one", 1)]);
     slow.objective = millis(6000);
     let c = catalog(vec![
