--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their ids, and entries that can't be read.
+//! Endpoints that restart under the same id, and list entries that can't be decoded.
 
 mod site;
 
@@ -28,7 +28,7 @@
     }
 }
 
-fn told(born: Option<u64>, orders_taken: u64, models: &[&str]) -> HoldingsReport {
+fn holdings_report(born: Option<u64>, orders_taken: u64, models: &[&str]) -> HoldingsReport {
     HoldingsReport {
         instance: instance(born),
         holdings: holding(models),
@@ -43,14 +43,17 @@
 }
 
 fn held(r: &Roster) -> Vec<String> {
-    let e = r.key("i-0").and_then(|k| r.get(k)).expect("it is there");
+    let e = r
+        .key("i-0")
+        .and_then(|k| r.get(k))
+        .expect("the endpoint is known");
     e.holdings.keys().map(ToString::to_string).collect()
 }
 
 #[test]
-fn list_of_a_later_start_takes_work_again() {
+fn list_later_start_is_open() {
     let mut r = listed(FIRST, &["big-0"]);
-    let first = r.key("i-0").expect("it is there");
+    let first = r.key("i-0").expect("the endpoint is known");
     r.mark_leaving(first);
     let update = r.apply_entry(Instant::now(), entry(SECOND, &[]));
     assert!(update.is_restart());
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn list_of_an_earlier_start_changes_nothing() {
+fn list_earlier_start_is_ignored() {
     let mut r = listed(SECOND, &["big-1"]);
     let mut late = entry(FIRST, &["big-0"]);
     late.leaving = true;
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn list_of_the_same_start_keeps_the_key() {
+fn list_same_start_keeps_key() {
     let mut r = listed(FIRST, &["big-0"]);
     let key = r.key("i-0");
     assert!(
@@ -85,11 +88,12 @@
 }
 
 #[test]
-fn list_at_another_address_is_another_key() {
-    // Connections and measurements belong to what was at the former address, whatever the entry says of its start.
+fn list_other_address_gets_new_key() {
+    // Connections and measurements belong to the endpoint at the former address, whatever start the entry
+    // states.
     let mut r = listed(None, &[]);
     let key = r.key("i-0");
-    r.mark_leaving(key.expect("it is there"));
+    r.mark_leaving(key.expect("the endpoint is known"));
     let mut moved = entry(None, &[]);
     moved.address = ([127, 0, 0, 1], 9001).into();
     assert_eq!(r.apply_entry(Instant::now(), moved).replaced, key);
@@ -110,7 +114,7 @@
 #[test]
 fn list_without_its_start_where_only_a_report_said_it() {
     let mut r = listed(None, &["big-0"]);
-    r.apply_report(Instant::now(), &told(FIRST, 1, &["big-1"]));
+    r.apply_report(Instant::now(), &holdings_report(FIRST, 1, &["big-1"]));
     r.apply_entry(Instant::now(), entry(None, &["big-0"]));
     assert_eq!(r.len(), 1);
 }
@@ -118,10 +122,13 @@
 #[tokio::test(start_paused = true)]
 async fn list_of_a_later_start_goes_before_reports_of_the_former() {
     let mut r = listed(FIRST, &["big-0"]);
-    r.apply_report(Instant::now(), &told(FIRST, 9, &["big-0", "big-1"]));
+    r.apply_report(
+        Instant::now(),
+        &holdings_report(FIRST, 9, &["big-0", "big-1"]),
+    );
     r.apply_entry(Instant::now(), entry(SECOND, &[]));
     assert_eq!(held(&r), Vec::<String>::new(), "it holds nothing now");
-    let late = r.apply_report(Instant::now(), &told(FIRST, 10, &["big-0"]));
+    let late = r.apply_report(Instant::now(), &holdings_report(FIRST, 10, &["big-0"]));
     assert!(!late.is_new);
     assert_eq!(held(&r), Vec::<String>::new());
 }
@@ -129,14 +136,14 @@
 #[test]
 fn report_of_a_later_start_counts_anew() {
     let mut r = listed(FIRST, &["big-0"]);
-    r.apply_report(Instant::now(), &told(FIRST, 9, &["big-0"]));
+    r.apply_report(Instant::now(), &holdings_report(FIRST, 9, &["big-0"]));
     assert!(
-        r.apply_report(Instant::now(), &told(SECOND, 1, &["big-2"]))
+        r.apply_report(Instant::now(), &holdings_report(SECOND, 1, &["big-2"]))
             .is_restart()
     );
     assert_eq!(held(&r), ["big-2"]);
     assert!(
-        r.apply_report(Instant::now(), &told(SECOND, 2, &["big-1"]))
+        r.apply_report(Instant::now(), &holdings_report(SECOND, 2, &["big-1"]))
             .is_new
     );
     assert_eq!(held(&r), ["big-1"]);
@@ -144,16 +151,16 @@
 
 #[test]
 fn report_of_a_later_start_while_its_entry_stands() {
-    // The store is away: the entry of the former start stays, and says that it leaves.
+    // The store is unavailable, so the entry of the former start stays, marked as leaving.
     let mut r = listed(FIRST, &["big-0"]);
-    let first = r.key("i-0").expect("it is there");
+    let first = r.key("i-0").expect("the endpoint is known");
     r.mark_leaving(first);
-    r.apply_report(Instant::now(), &told(SECOND, 0, &[]));
+    r.apply_report(Instant::now(), &holdings_report(SECOND, 0, &[]));
     let service = llm();
     let (_, e) = r.open(&service).next().expect("the later start takes work");
     assert_eq!(e.instance, instance(SECOND));
     assert!(e.copies.is_empty(), "what was at hand is not known");
-    // What other VMs have at the former start is nothing to this one.
+    // What other VMs report of the former start doesn't apply to the later one.
     assert_eq!(r.find(&instance(FIRST)), None);
     assert_eq!(r.find(&instance(SECOND)), r.key("i-0"));
     assert_eq!(r.find(&instance(None)), r.key("i-0"));
@@ -161,16 +168,17 @@
 
 #[tokio::test(start_paused = true)]
 async fn report_with_a_lower_count_without_a_start() {
-    // Nothing says that the endpoint started again but its count; messages are repeated for a while.
+    // Only the lower count of orders shows that the endpoint restarted. A repeated older message looks the
+    // same, so the report counts only after a while.
     let mut r = listed(None, &["big-0"]);
-    r.apply_report(Instant::now(), &told(None, 9, &["big-0"]));
+    r.apply_report(Instant::now(), &holdings_report(None, 9, &["big-0"]));
     assert!(
-        !r.apply_report(Instant::now(), &told(None, 1, &["big-2"]))
+        !r.apply_report(Instant::now(), &holdings_report(None, 1, &["big-2"]))
             .is_new
     );
     advance(REPORT_PREFERRED).await;
     assert!(
-        r.apply_report(Instant::now(), &told(None, 1, &["big-2"]))
+        r.apply_report(Instant::now(), &holdings_report(None, 1, &["big-2"]))
             .is_new
     );
     assert_eq!(held(&r), ["big-2"]);
@@ -184,7 +192,7 @@
     assert_eq!(r.open(&llm()).count(), 0);
     assert_eq!(r.unreadable().count(), 1);
     assert!(
-        !r.apply_report(Instant::now(), &told(FIRST, 1, &["big-0"]))
+        !r.apply_report(Instant::now(), &holdings_report(FIRST, 1, &["big-0"]))
             .is_new
     );
     assert!(
@@ -289,8 +297,8 @@
     );
 }
 
-/// An endpoint that takes 200 GB of models of 70 GB starts again while a load without an answer is under way. Whenever
-/// that arrives, by whatever number of orders, it fits.
+/// An endpoint with 200 GB for models of 70 GB restarts while an unanswered load is in flight. The load has to
+/// fit whenever it arrives and whatever its expected number of orders is.
 #[tokio::test(start_paused = true)]
 async fn step_never_overruns_with_a_late_load() {
     let spec = engine(6);
