--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -60,7 +60,7 @@
     assert_eq!(update.replaced, Some(first));
     assert!(
         r.get(first).is_none(),
-        "the former start's key names nothing"
+        "the former start's key is no longer valid"
     );
     assert_eq!(r.open(&llm()).count(), 1);
     assert_eq!(held(&r), Vec::<String>::new());
@@ -97,14 +97,14 @@
     let mut moved = entry(None, &[]);
     moved.address = ([127, 0, 0, 1], 9001).into();
     assert_eq!(r.apply_entry(Instant::now(), moved).replaced, key);
-    assert_eq!(r.open(&llm()).count(), 0, "it is leaving all the same");
+    assert_eq!(r.open(&llm()).count(), 0, "the endpoint is still leaving");
 }
 
 #[test]
-fn list_without_its_start_where_it_said_it_before() {
+fn list_without_start_after_listed_start() {
     let mut r = listed(FIRST, &["big-0"]);
     r.apply_entry(Instant::now(), entry(None, &["big-0"]));
-    assert_eq!(r.len(), 0, "another writer's entry names no endpoint");
+    assert_eq!(r.len(), 0, "an entry by another writer removes the endpoint");
     assert!(
         r.apply_entry(Instant::now(), entry(FIRST, &["big-0"]))
             .is_new
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn list_without_its_start_where_only_a_report_said_it() {
+fn list_without_start_after_reported_start() {
     let mut r = listed(None, &["big-0"]);
     r.apply_report(Instant::now(), &holdings_report(FIRST, 1, &["big-1"]));
     r.apply_entry(Instant::now(), entry(None, &["big-0"]));
@@ -120,21 +120,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn list_of_a_later_start_goes_before_reports_of_the_former() {
+async fn list_later_start_overrides_former_reports() {
     let mut r = listed(FIRST, &["big-0"]);
     r.apply_report(
         Instant::now(),
         &holdings_report(FIRST, 9, &["big-0", "big-1"]),
     );
     r.apply_entry(Instant::now(), entry(SECOND, &[]));
-    assert_eq!(held(&r), Vec::<String>::new(), "it holds nothing now");
+    assert_eq!(held(&r), Vec::<String>::new(), "the later start holds nothing");
     let late = r.apply_report(Instant::now(), &holdings_report(FIRST, 10, &["big-0"]));
     assert!(!late.is_new);
     assert_eq!(held(&r), Vec::<String>::new());
 }
 
 #[test]
-fn report_of_a_later_start_counts_anew() {
+fn report_later_start_resets_count() {
     let mut r = listed(FIRST, &["big-0"]);
     r.apply_report(Instant::now(), &holdings_report(FIRST, 9, &["big-0"]));
     assert!(
@@ -150,16 +150,16 @@
 }
 
 #[test]
-fn report_of_a_later_start_while_its_entry_stands() {
+fn report_later_start_before_its_entry() {
     // The store is unavailable, so the entry of the former start stays, marked as leaving.
     let mut r = listed(FIRST, &["big-0"]);
     let first = r.key("i-0").expect("the endpoint is known");
     r.mark_leaving(first);
     r.apply_report(Instant::now(), &holdings_report(SECOND, 0, &[]));
     let service = llm();
-    let (_, e) = r.open(&service).next().expect("the later start takes work");
+    let (_, e) = r.open(&service).next().expect("the later start is open");
     assert_eq!(e.instance, instance(SECOND));
-    assert!(e.copies.is_empty(), "what was at hand is not known");
+    assert!(e.copies.is_empty(), "the copies at the later start are unknown");
     // What other VMs report of the former start doesn't apply to the later one.
     assert_eq!(r.find(&instance(FIRST)), None);
     assert_eq!(r.find(&instance(SECOND)), r.key("i-0"));
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn report_with_a_lower_count_without_a_start() {
+async fn report_lower_count_without_start() {
     // Only the lower count of orders shows that the endpoint restarted. A repeated older message looks the
     // same, so the report counts only after a while.
     let mut r = listed(None, &["big-0"]);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn set_unreadable_until_an_entry_can_be_read() {
+fn set_unreadable_until_readable_entry() {
     let mut r = listed(FIRST, &["big-0"]);
     let key = r.key("i-0");
     assert_eq!(r.set_unreadable("i-0".into()), key);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn retain_unreadable_by_a_whole_reading() {
+fn retain_unreadable_by_full_read() {
     let mut r = Roster::default();
     for id in ["x", "y"] {
         assert_eq!(r.set_unreadable(id.into()), None);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn start_check_by_start_and_by_count() {
+fn start_check_by_start_and_count() {
     for (born, orders, is_same) in [
         (FIRST, 4, true),
         (FIRST, 5, true),
@@ -235,7 +235,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reserve_for_a_load_that_may_come_late() {
+async fn reserve_for_late_load() {
     let spec = engine(4);
     let mut late = LateLoads::default();
     late.record(Instant::now(), &instance(FIRST), &model("big-0"), 1);
@@ -248,31 +248,31 @@
             book(FIRST, 1, &[]),
             "big-1",
             false,
-            "the same start: the next order makes it void",
+            "the same start: the next order makes the load void",
         ),
         (
             book(SECOND, 0, &[]),
             "big-1",
             true,
-            "its number may still be met by chance",
+            "a later start may still reach the load's number",
         ),
         (
             book(SECOND, 1, &["big-1"]),
             "big-2",
             true,
-            "its number is met",
+            "the load's number is reached",
         ),
         (
             book(SECOND, 2, &["big-1"]),
             "big-2",
             false,
-            "its number has passed",
+            "the load's number has passed",
         ),
         (
             book(SECOND, 1, &["big-0"]),
             "big-2",
             false,
-            "it is there already",
+            "the model is loaded already",
         ),
         (book(SECOND, 0, &[]), "big-0", false, "the same load"),
         (
@@ -293,14 +293,14 @@
     advance(MAX_ORDER_DELAY).await;
     assert!(
         !reserved(&late, &book(SECOND, 0, &[]), "big-1"),
-        "it can't come any more"
+        "the load can't arrive any more"
     );
 }
 
 /// An endpoint with 200 GB for models of 70 GB restarts while an unanswered load is in flight. The load has to
 /// fit whenever it arrives and whatever its expected number of orders is.
 #[tokio::test(start_paused = true)]
-async fn step_never_overruns_with_a_late_load() {
+async fn step_fits_with_late_load() {
     let spec = engine(6);
     for expected in 0..4 {
         for arrives_at in 0..6 {
