--- a/crates/limehollow/src/order.rs
+++ b/crates/limehollow/src/order.rs
@@ -118,6 +118,7 @@
     Lost,
 }
 
+/// The progress of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SendState {
     /// The call is in progress.
@@ -126,6 +127,7 @@
     Ended(SendResult, Instant),
 }
 
+/// The polls, observations and fences of one endpoint.
 #[derive(Debug, Default)]
 struct EndpointWatch {
     poll_in_flight: bool,
@@ -139,7 +141,7 @@
     fenced: Option<(Incarnation, Offset, Instant)>,
     /// When a ready replica was first absent from an observation, by accelerator and model.
     missing_since: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
-    /// When a replica that isn't in the log's state was first observed, by accelerator and model.
+    /// When a model that isn't in the log's state was first observed, by accelerator and model.
     untracked_since: BTreeMap<(AcceleratorRef, ModelVersion), Instant>,
 }
 
