--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -32,9 +32,9 @@
         // Holders are staggered by the order of their zones, so that only one of them proposes a plan. The
         // first one doesn't wait.
         let rank = fleet.leases().take_while(|(z, _)| **z != self.zone).count();
-        let turn = since + self.rules.plan_timeout / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
-        let complete = self.all_listed_are_seen(fleet);
-        if now < turn || !complete && now < turn + self.rules.plan_timeout {
+        let propose_at = since + self.rules.plan_timeout / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
+        let all_seen = self.all_listed_are_seen(fleet);
+        if now < propose_at || !all_seen && now < propose_at + self.rules.plan_timeout {
             return;
         }
         let record = match placement::plan(fleet, latest.offset, &latest.intent) {
@@ -168,8 +168,8 @@
             let Some(m) = intent.model(name.as_str()).filter(|_| done.insert(name)) else {
                 continue;
             };
-            let there = self.available_replicas(fleet, name);
-            if there >= usize::from(m.replicas) {
+            let available = self.available_replicas(fleet, name);
+            if available >= usize::from(m.replicas) {
                 continue;
             }
             let version = m.model_version();
@@ -200,8 +200,8 @@
     /// engines, else one of the other zones, chosen by rendezvous hashing of the model's name.
     fn is_repaired_by_own_zone(&self, fleet: &Fleet, t: &crate::plan::Target) -> bool {
         let has_room = |z: &ZoneName| {
-            let mut there = self.available_endpoints(fleet);
-            there.any(|e| e.zone == *z && !e.accelerators.is_empty())
+            let mut available = self.available_endpoints(fleet);
+            available.any(|e| e.zone == *z && !e.accelerators.is_empty())
         };
         if has_room(&t.zone) {
             return t.zone == self.zone;
@@ -243,9 +243,9 @@
             return true;
         }
         fleet.routable().any(|(vm, accelerator, m)| {
-            let itself =
+            let is_removed_replica =
                 *vm == without.endpoint && accelerator == without.accelerator && m == model;
-            m.name == model.name && !itself && !self.unlisted_since.contains_key(vm)
+            m.name == model.name && !is_removed_replica && !self.unlisted_since.contains_key(vm)
         })
     }
 
@@ -348,11 +348,11 @@
         self.blocked_models.insert(&s.model.name);
         self.blocked_accelerators.insert(&s.place);
         if free && s.zone == self.driver.zone {
-            let again = self.was_done(s, plan);
-            if again && self.has_enough(&s.model.name) {
+            let is_repeat = self.was_done(s, plan);
+            if is_repeat && self.has_enough(&s.model.name) {
                 return;
             }
-            let cause = if again { Cause::Repair } else { Cause::Plan };
+            let cause = if is_repeat { Cause::Repair } else { Cause::Plan };
             self.issue(s.place.clone(), s.action, s.model.clone(), s.bytes, cause);
         }
     }
