--- a/crates/limehollow/src/fleet/apply.rs
+++ b/crates/limehollow/src/fleet/apply.rs
@@ -109,8 +109,8 @@
         let Some(latest) = &self.latest else {
             return Err(unknown("intent", &r.replaces));
         };
-        let whole = latest.intent.with_change(r);
-        self.apply_intent(offset, at, &whole)
+        let changed = latest.intent.with_change(r);
+        self.apply_intent(offset, at, &changed)
     }
 
     fn apply_plan(&mut self, offset: Offset, r: &Plan) -> Result<Effect> {
