--- a/crates/limehollow/src/fleet/admit.rs
+++ b/crates/limehollow/src/fleet/admit.rs
@@ -152,14 +152,14 @@
         if !ready {
             return already_in_state(o);
         }
-        let carries = acc
+        let has_adapters = acc
             .replicas
             .values()
             .any(|r| r.base.as_ref() == Some(&o.model.name));
         let other_version = acc.replicas.iter().any(|(m, r)| {
             m.name == o.model.name && *m != o.model && r.state == ReplicaState::Ready
         });
-        if carries && !other_version {
+        if has_adapters && !other_version {
             return base_error(o, "still carries adapters");
         }
         let served = self
