--- a/crates/limehollow/tests/claim.rs
+++ b/crates/limehollow/tests/claim.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn any_claims_run_once() {
+fn any_readers_agree_and_one_runs() {
     // Gateways claim and release a few keys in any order. Each reads the stream up to its own claim and runs
     // the request only if that claim is the valid one. A request whose key isn't released runs once.
     check!()
--- a/crates/limehollow/tests/events.rs
+++ b/crates/limehollow/tests/events.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn any_records_keep_invariants() {
+fn any_records_keep_promises() {
     check!()
         .with_iterations(30_000)
         .with_type::<Vec<[u8; 4]>>()
--- a/crates/limehollow/tests/fleet.rs
+++ b/crates/limehollow/tests/fleet.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn unload_duplicate_may_arrive() {
+fn unload_may_come_twice() {
     // At an endpoint that doesn't check fencing numbers, a duplicate of an unload can remove a new replica.
     for (endpoint, is_void) in [("open", true), ("fenced", false)] {
         let mut s = TestLog::with_endpoints();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn load_duplicate_may_arrive() {
+fn load_may_come_twice() {
     // A duplicate of a load can load an unloaded model again, so its memory stays reserved until the
     // duplicate can't arrive any more.
     for (endpoint, free) in [("open", 60), ("fenced", 100)] {
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn endpoint_left_admits_no_load() {
+fn endpoint_that_left_takes_no_load() {
     for (departure, presence) in [
         (Departure::Leaving, Presence::Leaving),
         (Departure::Gone, Presence::Gone),
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn offset_stale() {
+fn offset_backwards() {
     let mut s = TestLog::with_endpoints();
     let before = s.fleet.clone();
     let res = s
--- a/crates/limehollow/tests/repairs.rs
+++ b/crates/limehollow/tests/repairs.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn zone_lost_during_unload() {
+fn zone_lost_while_a_replica_is_to_go() {
     // The log still counts the lost zone's replica as ready. The lease holder must not unload the last
     // replica that really exists.
     let mut w = settled_world();
--- a/crates/limehollow/tests/replay.rs
+++ b/crates/limehollow/tests/replay.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn push_entry_after_pause() {
+fn feed_sleeping_reader() {
     // A reader was paused while the log dropped the entries that it needed next.
     let log = log();
     let mut r = Replay::default();
