--- a/crates/limehollow/tests/events.rs
+++ b/crates/limehollow/tests/events.rs
@@ -1,4 +1,4 @@
-//! Any sequence of records at all: the fold keeps its promises.
+//! Property tests: [`Fleet`] keeps its invariants for arbitrary sequences of records.
 
 mod records;
 
@@ -7,7 +7,7 @@
 use limehollow::id::Offset;
 use limehollow::plan::Action::{Load, Unload};
 use limehollow::record::{Departure, EndpointLeft, Evidence, Outcome, Record};
-use records::{Story, issued, lease, seen, settled};
+use records::{TestLog, issued, lease, seen, settled};
 
 const ENDPOINTS: [&str; 2] = ["fenced", "open"];
 const MODELS: [(&str, u64); 3] = [("m", 40), ("n", 50), ("x", 5)];
@@ -19,8 +19,8 @@
     Evidence::DelayPassed,
 ];
 
-/// Makes a record of four bytes.  The epoch is sometimes an old one, and so is the incarnation.
-fn record(s: &Story, bytes: [u8; 4]) -> Record {
+/// Builds a record from four bytes. Some records have an outdated epoch or a new incarnation.
+fn record(s: &TestLog, bytes: [u8; 4]) -> Record {
     let [kind, which, what, how] = bytes.map(usize::from);
     let endpoint = ENDPOINTS[which % 2];
     let epoch = match how % 5 {
@@ -96,8 +96,8 @@
     }
 }
 
-/// Tells whether a record takes a replica out of reach by limehollow's own doing.
-fn is_own_doing(r: &Record) -> bool {
+/// Returns `true` if a record is an action of limehollow itself, as opposed to an observed change.
+fn is_own_action(r: &Record) -> bool {
     matches!(
         r,
         Record::OrderIssued(_) | Record::OrderSettled(_) | Record::LeaseTaken(_)
@@ -110,7 +110,7 @@
         .with_iterations(30_000)
         .with_type::<Vec<[u8; 4]>>()
         .for_each(|input| {
-            let mut s = Story::begin();
+            let mut s = TestLog::with_endpoints();
             s.load("fenced", "m", 40);
             for bytes in input.iter().take(200) {
                 let r = record(&s, *bytes);
@@ -126,8 +126,8 @@
                 if res.is_err() {
                     assert_eq!(ready, ready_before, "a void record changed something");
                 }
-                if ready_before > 0 && is_own_doing(&r) {
-                    assert!(ready > 0, "{r:?} took the last ready replica away");
+                if ready_before > 0 && is_own_action(&r) {
+                    assert!(ready > 0, "{r:?} removed the last ready replica");
                 }
             }
         });
@@ -135,19 +135,20 @@
 
 #[test]
 fn any_records_give_one_state() {
-    // Two readers, one of which was restored from the other's text half-way, agree to the byte.
+    // Two readers, one of which is restored half-way from the other's serialized state, have equal states.
     check!()
         .with_iterations(5_000)
         .with_type::<Vec<[u8; 4]>>()
         .for_each(|input| {
-            let mut s = Story::begin();
+            let mut s = TestLog::with_endpoints();
             let half = input.len().min(100) / 2;
-            let mut other: Option<Story> = None;
+            let mut other: Option<TestLog> = None;
             for (i, bytes) in input.iter().take(100).enumerate() {
                 if i == half {
-                    let text = serde_json::to_string(&s.fleet).expect("it can be written");
-                    let fleet = serde_json::from_str(&text).expect("it can be read");
-                    other = Some(Story { fleet, ..s.clone() });
+                    let text =
+                        serde_json::to_string(&s.fleet).expect("the state can be serialized");
+                    let fleet = serde_json::from_str(&text).expect("the state can be deserialized");
+                    other = Some(TestLog { fleet, ..s.clone() });
                 }
                 let r = record(&s, *bytes);
                 let first = s.next(&r);
@@ -160,22 +161,25 @@
 }
 
 #[test]
-fn reachable_only_what_is_sure() {
+fn ready_replicas_are_ready_and_live() {
     check!()
         .with_iterations(10_000)
         .with_type::<Vec<[u8; 4]>>()
         .for_each(|input| {
-            let mut s = Story::begin();
+            let mut s = TestLog::with_endpoints();
             for bytes in input.iter().take(100) {
                 let r = record(&s, *bytes);
                 let _void = s.next(&r);
                 for (name, _) in MODELS {
                     for p in s.fleet.ready_replicas(name) {
-                        let e = s.fleet.endpoint(p.endpoint.as_str()).expect("it is known");
+                        let e = s
+                            .fleet
+                            .endpoint(p.endpoint.as_str())
+                            .expect("the endpoint is known");
                         let replica = s
                             .fleet
                             .replica(&p, &records::version(name, "1"))
-                            .expect("it is there");
+                            .expect("the replica exists");
                         assert_eq!(
                             (e.presence, replica.state),
                             (Presence::Live, ReplicaState::Ready)
--- a/crates/limehollow/tests/world/mod.rs
+++ b/crates/limehollow/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! A small fake of all that controllers meet: a log, engines and messages on their way.
+//! A simulation of the environment of controllers: the log, the engines and messages in flight.
 //!
-//! Time is a number that the test advances, so every run of a case is the same. The checks look at
-//! what the engines hold and at the log, never at what a controller believes.
+//! The test advances the time in ticks, so every run of a case is identical. The checks compare the
+//! engines' contents with the log, and never use a controller's own state.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -70,7 +70,7 @@
     Ready,
 }
 
-/// An engine as it really is.
+/// The actual state of an engine, as opposed to the state recorded in the log.
 #[derive(Debug)]
 pub struct Engine {
     pub zone: ZoneName,
@@ -98,7 +98,7 @@
         self.reports.clear();
     }
 
-    fn take(&mut self, now: Instant, o: &Order) -> SendResult {
+    fn accept(&mut self, now: Instant, o: &Order) -> SendResult {
         if !self.up {
             return SendResult::Lost;
         }
@@ -131,7 +131,7 @@
             endpoint: name.clone(),
             accelerator: 0,
         };
-        let mut look = Observation {
+        let mut observation = Observation {
             began: now,
             incarnation: self.incarnation,
             kind: EndpointKind::Engine {
@@ -150,79 +150,79 @@
         for (m, (bytes, phase)) in &self.models {
             let (place, model) = (place.clone(), m.clone());
             match phase {
-                Phase::Ready => look.residents.push(Resident {
+                Phase::Ready => observation.residents.push(Resident {
                     place,
                     model,
                     bytes: *bytes,
                 }),
-                Phase::Loading(_) => look.changing.push((place, model)),
+                Phase::Loading(_) => observation.changing.push((place, model)),
             }
         }
-        self.reports.push_back((now, look));
-        // Reports lag by just less than the rules allow.
+        self.reports.push_back((now, observation));
+        // Reports lag by one tick less than the rules allow.
         while self.reports.len() > 1 && self.reports[1].0 + LAG - TICK <= now {
             self.reports.pop_front();
         }
     }
 
-    fn look(&self, now: Instant) -> Option<Observation> {
-        let (_, look) = self.reports.front()?;
+    fn observe(&self, now: Instant) -> Option<Observation> {
+        let (_, observation) = self.reports.front()?;
         self.up.then(|| Observation {
             began: now,
-            ..look.clone()
+            ..observation.clone()
         })
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Power {
+pub enum ProcessState {
     Up,
     Paused,
     Dead,
 }
 
-/// A controller's process.
+/// A controller process.
 #[derive(Debug)]
 pub struct Controller {
     pub name: VmName,
     pub zone: ZoneName,
     pub incarnation: Incarnation,
-    pub power: Power,
+    pub state: ProcessState,
     pub replay: Replay,
     lease: LeaseWatch,
     driver: Driver,
     members: Membership,
-    /// Orders that it had decided to send when it was paused.
+    /// Orders that the process had decided to send when it was paused.
     unsent: Vec<Order>,
-    /// Commands whose answer comes at the next tick.
+    /// Commands that are answered at the next tick.
     calls: Vec<Command>,
-    /// Whether an append has to be read back first.
+    /// Whether the process has to read its appends back before it decides again.
     must_read: bool,
     highest: Offset,
 }
 
-/// What goes wrong.
+/// The faults that are injected.
 #[derive(Debug, Default)]
 pub struct Faults {
     pub log_down: bool,
-    /// Appends that take effect and whose answer is lost.
+    /// The number of appends that take effect and whose answer is lost.
     pub lose_append_answers: u32,
-    /// Appends that are lost.
+    /// The number of appends that are lost.
     pub drop_appends: u32,
-    /// Zones that can't reach the platform.
+    /// The zones that can't reach the platform.
     pub cut_from_platform: BTreeSet<ZoneName>,
-    /// Whether the controllers of a zone hear each other.
+    /// Whether the controllers of a zone receive no messages from each other.
     pub peers_cut: bool,
     pub drop_orders: u32,
     pub lose_order_answers: u32,
     pub delay_orders: Option<Duration>,
-    pub double_orders: Option<Duration>,
-    /// The next controller that decides to send an order is paused just before it does.
+    pub duplicate_orders: Option<Duration>,
+    /// Whether the next controller that decides to send an order is paused just before it does.
     pub pause_at_send: bool,
 }
 
 #[derive(Debug)]
-struct Flight {
+struct OrderInFlight {
     arrives: Instant,
     engine: VmName,
     order: Order,
@@ -232,29 +232,30 @@
     pub now: Instant,
     pub start: Instant,
     pub log: Vec<Entry>,
-    /// The lowest offset that the log still keeps.
-    pub kept_from: usize,
+    /// The lowest offset that the log retains.
+    pub retained_from: usize,
     pub engines: BTreeMap<VmName, Engine>,
     pub controllers: Vec<Controller>,
     pub faults: Faults,
     pub unlisted: BTreeSet<VmName>,
     pub leaving: BTreeSet<VmName>,
-    /// The fold of the whole log, for checks and operators.
-    pub truth: Replay,
-    /// Models that have to be reachable at every tick.
-    pub must_reach: BTreeSet<ModelName>,
-    /// Sent orders, for counting.
+    /// The state after the whole log, used by the checks and by operators' actions.
+    pub reference: Replay,
+    /// The models that have to be reachable at every tick.
+    pub must_be_reachable: BTreeSet<ModelName>,
+    /// The number of orders sent.
     pub orders_sent: u32,
-    /// What a gateway of each zone has to refuse: zone, model, requests a second.
+    /// The unmet demand that a gateway of each zone reports: zone, model, requests per second.
     pub unmet: Vec<(ZoneName, ModelName, f64)>,
-    /// Whether second copies of orders are about, which may bring back what nobody counts.
-    copies: bool,
-    flights: Vec<Flight>,
+    /// Whether duplicates of orders were sent, which may load a model again that the log doesn't count.
+    has_duplicates: bool,
+    in_flight: Vec<OrderInFlight>,
     ticks: u64,
 }
 
 impl World {
-    /// Makes zones with two entry VMs and two engines each: one checks fencing numbers, one doesn't.
+    /// Creates zones with two entry VMs and two engines each. The first engine checks fencing numbers, the
+    /// second doesn't.
     pub fn new(zones: &[&str], capacity: u64) -> Self {
         let start = Instant::now();
         let mut engines = BTreeMap::new();
@@ -281,32 +282,32 @@
             now: start,
             start,
             log: Vec::new(),
-            kept_from: 0,
+            retained_from: 0,
             engines,
             controllers,
             faults: Faults::default(),
             unlisted: BTreeSet::new(),
             leaving: BTreeSet::new(),
-            truth: Replay::default(),
-            must_reach: BTreeSet::new(),
+            reference: Replay::default(),
+            must_be_reachable: BTreeSet::new(),
             orders_sent: 0,
             unmet: Vec::new(),
-            copies: false,
-            flights: Vec::new(),
+            has_duplicates: false,
+            in_flight: Vec::new(),
             ticks: 0,
         }
     }
 
     pub fn fleet(&self) -> &Fleet {
-        self.truth.fleet()
+        self.reference.fleet()
     }
 
     fn log_time(&self) -> LogTime {
         let ms = self.now.duration_since(self.start).as_millis();
-        LogTime(u64::try_from(ms).expect("a test is short"))
+        LogTime(u64::try_from(ms).expect("the simulated time fits in 64 bits"))
     }
 
-    /// Appends a record as an operator does, and gives its offset and fate.
+    /// Appends a record on behalf of an operator, and returns its offset and the result of applying it.
     pub fn append(&mut self, record: Record) -> (Offset, limehollow::Result<()>) {
         self.append_content(Content::Record(record))
     }
@@ -319,7 +320,7 @@
             content,
         };
         self.log.push(entry.clone());
-        let applied = self.truth.push_entry(entry);
+        let applied = self.reference.push_entry(entry);
         let res = applied
             .into_iter()
             .find(|(o, _)| *o == offset)
@@ -327,14 +328,14 @@
         (offset, res)
     }
 
-    /// Appends a snapshot and lets the log forget all before it.
-    pub fn snapshot_and_forget(&mut self) {
-        let fleet = Box::new(self.truth.fleet().clone());
+    /// Appends a snapshot and drops all earlier entries from the log.
+    pub fn snapshot_and_truncate(&mut self) {
+        let fleet = Box::new(self.reference.fleet().clone());
         let next = fleet.next_offset();
         self.append_content(Content::Snapshot { next, fleet })
             .1
             .expect("a snapshot is never void");
-        self.kept_from = self.log.len() - 1;
+        self.retained_from = self.log.len() - 1;
     }
 
     fn reaches_platform(&self, zone: &ZoneName) -> bool {
@@ -364,7 +365,7 @@
             .collect()
     }
 
-    /// Publishes an intent, waits for its plan, and confirms it.
+    /// Publishes an intent, waits for the plan, and confirms the plan.
     pub fn confirm(&mut self, intent: Intent) -> Offset {
         let (offset, res) = self.append(Record::Intent(intent));
         res.expect("the intent is valid");
@@ -375,17 +376,23 @@
         });
         let refusal = self.fleet().plan_refusal();
         assert!(found, "no plan came for intent {offset}: {refusal:?}");
-        let plan = self.fleet().proposed_plan().expect("just seen").offset;
+        let plan = self
+            .fleet()
+            .proposed_plan()
+            .expect("a plan was proposed above")
+            .offset;
         let answer = Answer {
             plan,
             operator: "ana".into(),
             kind: AnswerKind::Confirm,
         };
-        self.append(Record::Answer(answer)).1.expect("nobody raced");
+        self.append(Record::Answer(answer))
+            .1
+            .expect("no other answer was appended");
         plan
     }
 
-    /// Tells whether the plan in force is carried out.
+    /// Returns `true` if the plan in force is carried out.
     pub fn is_settled(&self) -> bool {
         self.fleet().is_carried_out()
     }
@@ -411,34 +418,34 @@
         f(self)
     }
 
-    /// Advances all by one tick and checks what must always hold.
+    /// Advances the simulation by one tick and checks the invariants.
     pub fn tick(&mut self) {
         self.now += TICK;
         self.ticks += 1;
-        self.land_flights();
+        self.deliver_orders();
         let now = self.now;
         for (name, e) in &mut self.engines {
             e.advance(now, name);
         }
         self.exchange_heartbeats();
         for i in 0..self.controllers.len() {
-            if self.controllers[i].power == Power::Up {
+            if self.controllers[i].state == ProcessState::Up {
                 self.run_controller(i);
             }
         }
         self.check();
     }
 
-    fn land_flights(&mut self) {
+    fn deliver_orders(&mut self) {
         let now = self.now;
-        let (landed, flying) = self
-            .flights
+        let (arrived, remaining) = self
+            .in_flight
             .drain(..)
-            .partition(|f: &Flight| f.arrives <= now);
-        self.flights = flying;
-        for f in landed as Vec<Flight> {
+            .partition(|f: &OrderInFlight| f.arrives <= now);
+        self.in_flight = remaining;
+        for f in arrived as Vec<OrderInFlight> {
             if let Some(e) = self.engines.get_mut(&f.engine) {
-                e.take(now, &f.order);
+                e.accept(now, &f.order);
             }
         }
     }
@@ -448,7 +455,11 @@
             return;
         }
         let now = self.now;
-        for c in self.controllers.iter_mut().filter(|c| c.power == Power::Up) {
+        for c in self
+            .controllers
+            .iter_mut()
+            .filter(|c| c.state == ProcessState::Up)
+        {
             let next = c.replay.fleet().next_offset();
             c.members.tick(now, next);
         }
@@ -458,10 +469,14 @@
         let digests: Vec<_> = self
             .controllers
             .iter_mut()
-            .filter(|c| c.power == Power::Up)
+            .filter(|c| c.state == ProcessState::Up)
             .map(|c| (c.zone.clone(), c.members.digest(now, &[])))
             .collect();
-        for c in self.controllers.iter_mut().filter(|c| c.power == Power::Up) {
+        for c in self
+            .controllers
+            .iter_mut()
+            .filter(|c| c.state == ProcessState::Up)
+        {
             for (_, d) in digests.iter().filter(|(z, _)| *z == c.zone) {
                 for h in d {
                     c.members.merge(now, h.clone());
@@ -472,7 +487,7 @@
 
     fn run_controller(&mut self, i: usize) {
         let now = self.now;
-        // A process that wakes up first does what it had decided before it was paused.
+        // A process that resumes first sends the orders that it had decided to send before the pause.
         for order in std::mem::take(&mut self.controllers[i].unsent) {
             self.send(i, order);
         }
@@ -515,9 +530,9 @@
                 Command::Send(order) => {
                     if self.faults.pause_at_send {
                         self.faults.pause_at_send = false;
-                        self.controllers[i].power = Power::Paused;
+                        self.controllers[i].state = ProcessState::Paused;
                     }
-                    if self.controllers[i].power == Power::Paused {
+                    if self.controllers[i].state == ProcessState::Paused {
                         self.controllers[i].unsent.push(order);
                     } else {
                         self.send(i, order);
@@ -526,22 +541,22 @@
                 other => self.controllers[i].calls.push(other),
             }
         }
-        if !records.is_empty() && reaches && self.controllers[i].power == Power::Up {
+        if !records.is_empty() && reaches && self.controllers[i].state == ProcessState::Up {
             self.append_from(i, records);
         }
     }
 
     fn read_log(&mut self, i: usize) {
         let c = &mut self.controllers[i];
-        let from = usize::try_from(c.replay.next_to_read().0).expect("small");
-        for entry in &self.log[from.max(self.kept_from).min(self.log.len())..] {
+        let from = usize::try_from(c.replay.next_to_read().0).expect("the offset fits in a usize");
+        for entry in &self.log[from.max(self.retained_from).min(self.log.len())..] {
             c.replay.push_entry(entry.clone());
         }
         c.must_read = false;
         let next = c.replay.fleet().next_offset();
         assert!(
             next >= c.highest,
-            "{} went from {} back to {next}",
+            "the offset of {} fell from {} to {next}",
             c.name,
             c.highest
         );
@@ -554,8 +569,8 @@
             self.faults.drop_appends -= 1;
             return;
         }
-        // Whether the answer gets through makes no difference here: both ways the controller reads
-        // on before it decides again.
+        // A lost answer makes no difference here: in both cases the controller reads the log before it
+        // decides again.
         self.faults.lose_append_answers = self.faults.lose_append_answers.saturating_sub(1);
         for r in records {
             let _void = self.append(r);
@@ -566,10 +581,10 @@
         let now = self.now;
         let engine = order.place.endpoint.clone();
         self.orders_sent += 1;
-        if let Some(after) = self.faults.double_orders {
-            self.copies = true;
+        if let Some(after) = self.faults.duplicate_orders {
+            self.has_duplicates = true;
             let arrives = now + after;
-            self.flights.push(Flight {
+            self.in_flight.push(OrderInFlight {
                 arrives,
                 engine: engine.clone(),
                 order: order.clone(),
@@ -580,37 +595,37 @@
             self.faults.drop_orders -= 1;
             SendResult::Lost
         } else if let Some(delay) = self.faults.delay_orders {
-            self.flights.push(Flight {
+            self.in_flight.push(OrderInFlight {
                 arrives: now + delay,
                 engine,
                 order,
             });
             SendResult::Lost
         } else {
-            let taken = self
+            let answer = self
                 .engines
                 .get_mut(&engine)
-                .map_or(SendResult::Lost, |e| e.take(now, &order));
+                .map_or(SendResult::Lost, |e| e.accept(now, &order));
             if self.faults.lose_order_answers > 0 {
                 self.faults.lose_order_answers -= 1;
                 SendResult::Lost
             } else {
-                taken
+                answer
             }
         };
         self.controllers[i].driver.on_send_result(now, number, res);
     }
 
-    /// Answers the calls that a controller made at its last tick.
+    /// Answers the calls that a controller made at the last tick.
     fn answer_calls(&mut self, i: usize) {
         let now = self.now;
         for call in std::mem::take(&mut self.controllers[i].calls) {
             match call {
                 Command::Poll { endpoint, .. } => {
-                    let look = self.engines.get(&endpoint).and_then(|e| e.look(now));
+                    let observation = self.engines.get(&endpoint).and_then(|e| e.observe(now));
                     self.controllers[i]
                         .driver
-                        .on_observation(now, &endpoint, look);
+                        .on_observation(now, &endpoint, observation);
                 }
                 Command::Fence {
                     endpoint, number, ..
@@ -632,7 +647,7 @@
         }
     }
 
-    /// Checks what must hold at every instant, on what the engines hold.
+    /// Checks the invariants that must hold at every tick, on the engines' contents.
     fn check(&self) {
         let at = self.now.duration_since(self.start);
         for (name, e) in &self.engines {
@@ -645,18 +660,18 @@
             );
         }
         self.check_all_counted();
-        for m in &self.must_reach {
+        for m in &self.must_be_reachable {
             let reachable = self
                 .fleet()
                 .ready_replicas(m.as_str())
-                .any(|p| self.really_ready(&p, m));
+                .any(|p| self.is_loaded(&p, m));
             assert!(reachable, "{at:?}: {m} is not reachable");
         }
     }
 
-    /// Checks that the log counts all that an engine holds: it may count too much, never too little.
+    /// Checks that the log counts every model that an engine holds. It may count more, but never less.
     fn check_all_counted(&self) {
-        if self.copies {
+        if self.has_duplicates {
             return;
         }
         let at = self.now.duration_since(self.start);
@@ -667,12 +682,15 @@
             };
             for m in e.models.keys() {
                 let counted = known.accelerators[0].replicas.contains_key(m);
-                assert!(counted, "{at:?}: {name} holds {m:?}, which nobody counts");
+                assert!(
+                    counted,
+                    "{at:?}: {name} holds {m:?}, which the log doesn't count"
+                );
             }
         }
     }
 
-    fn really_ready(&self, place: &AcceleratorRef, name: &ModelName) -> bool {
+    fn is_loaded(&self, place: &AcceleratorRef, name: &ModelName) -> bool {
         self.engines.get(&place.endpoint).is_some_and(|e| {
             e.up && e
                 .models
@@ -681,12 +699,12 @@
         })
     }
 
-    /// Counts the orders that are on their way.
-    pub fn flying(&self) -> usize {
-        self.flights.len()
+    /// Returns the number of orders in flight.
+    pub fn orders_in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// Gives the index of the controller that holds a zone's lease.
+    /// Returns the index of the controller that holds a zone's lease.
     pub fn holder(&self, zone: &str) -> Option<usize> {
         let l = self.fleet().lease(&zone.into())?;
         self.controllers
@@ -694,7 +712,7 @@
             .position(|c| c.name == l.holder && c.incarnation == l.incarnation)
     }
 
-    /// Replaces a controller by a new process at the same name.
+    /// Replaces a controller with a new process of the same name.
     pub fn replace(&mut self, i: usize) {
         let (zone, name) = (
             self.controllers[i].zone.clone(),
@@ -704,24 +722,24 @@
         self.controllers[i] = controller(self.now, zone.as_str(), name.as_str(), incarnation);
     }
 
-    /// Ends all faults.
-    pub fn heal(&mut self) {
+    /// Ends all faults, restarts dead controllers and resumes paused ones.
+    pub fn end_faults(&mut self) {
         self.faults = Faults::default();
         for i in 0..self.controllers.len() {
-            match self.controllers[i].power {
-                Power::Dead => self.replace(i),
-                Power::Paused => self.controllers[i].power = Power::Up,
-                Power::Up => {}
+            match self.controllers[i].state {
+                ProcessState::Dead => self.replace(i),
+                ProcessState::Paused => self.controllers[i].state = ProcessState::Up,
+                ProcessState::Up => {}
             }
         }
     }
 
-    /// Takes all served models as ones that have to be reachable from now on.
-    pub fn hold_reachable(&mut self) {
+    /// Requires all models of the confirmed intent to be reachable from now on.
+    pub fn require_reachable(&mut self) {
         let Some(i) = self.fleet().confirmed_intent() else {
             return;
         };
-        self.must_reach = i.intent.models.iter().map(|m| m.name.clone()).collect();
+        self.must_be_reachable = i.intent.models.iter().map(|m| m.name.clone()).collect();
     }
 }
 
@@ -732,7 +750,7 @@
         driver: Driver::new(zone.clone(), name.clone(), incarnation, rules()),
         members: Membership::new(now, name.clone(), incarnation),
         replay: Replay::default(),
-        power: Power::Up,
+        state: ProcessState::Up,
         unsent: Vec::new(),
         calls: Vec::new(),
         must_read: false,
@@ -743,8 +761,8 @@
     }
 }
 
-/// Says what keeps a plan from being carried out.
-pub fn what_is_open(w: &World) -> Vec<String> {
+/// Describes what is left to do before the plan in force is carried out.
+pub fn describe_unfinished(w: &World) -> Vec<String> {
     let f = w.fleet();
     let open = f
         .orders()
