--- a/crates/limehollow/src/send_budget.rs
+++ b/crates/limehollow/src/send_budget.rs
@@ -1,8 +1,9 @@
-//! How much a VM may say to others: a bound that all its datagrams share, whatever they are for.
+//! A rate limit for all datagrams that a VM sends to other VMs, by urgency.
 //!
-//! What VMs tell each other must not take the link from callers. It grows when things go wrong: more is waited for, more is
-//! found gone, more is asked. So all of it comes out of one budget of bytes a second, the most urgent first. What finds
-//! nothing left isn't queued: the next message says the same anew (`docs/design/overload.md`).
+//! Traffic between VMs must not take the link from callers. It grows during failures: more VMs wait, more endpoints
+//! disappear, more queries are sent. All datagrams therefore share one budget of bytes a second, and the most urgent
+//! may use all of it. A datagram that doesn't fit isn't queued, since the next message holds the same state
+//! (`docs/design/overload.md`).
 //!
 //! ```
 //! use limehollow::send_budget::{SendBudget, Urgency};
@@ -18,24 +19,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long what wasn't used can be saved: two messages of a large zone.
-const SAVED_FOR: Duration = Duration::from_millis(500);
+/// The time for which unused bytes accumulate: two messages of a large zone.
+const MAX_SAVINGS: Duration = Duration::from_millis(500);
 
-/// How much a datagram matters; the first goes as long as there is anything left.
+/// The urgency of a datagram, the most urgent first. The first is sent as long as any bytes are left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// A question, or the answer to one: a request waits for it.
+    /// A query or its answer: a request waits for it.
     Answer,
-    /// Something that has just changed.
+    /// A recent change.
     Change,
-    /// What is said again and again.
+    /// State that is sent periodically.
     Periodic,
-    /// What another VM said, for those that didn't hear it.
+    /// A message of another VM, relayed to VMs that didn't receive it.
     Relayed,
 }
 
 impl Urgency {
-    /// Gives the part of all savings that is left alone, for what is more urgent.
+    /// Returns the fraction of the maximum savings that is reserved for more urgent datagrams.
     fn reserve(self) -> f64 {
         match self {
             Self::Answer => 0.0,
@@ -46,7 +47,7 @@
     }
 }
 
-/// What a VM may send now, in bytes.
+/// The bytes that a VM may send now.
 #[derive(Clone, Copy, Debug)]
 pub struct SendBudget {
     bytes_per_s: f64,
@@ -55,7 +56,7 @@
 }
 
 impl SendBudget {
-    /// Makes the budget of a VM that hasn't sent anything.
+    /// Creates the full budget of a VM that hasn't sent anything.
     #[must_use]
     pub fn new(now: Instant, bytes_per_s: f64) -> Self {
         let mut budget = Self {
@@ -67,23 +68,23 @@
         budget
     }
 
-    /// Sets how much is earned from now on.
+    /// Sets the rate from now on; savings above the new maximum are dropped.
     pub fn set_rate(&mut self, now: Instant, bytes_per_s: f64) {
         self.earn(now);
         self.bytes_per_s = bytes_per_s;
         self.left = self.left.min(self.most());
     }
 
-    /// Takes what a datagram needs, if there is so much left for its urgency.
+    /// Spends `bytes` for a datagram and returns `true` if enough are left for its urgency.
     pub fn try_spend(&mut self, now: Instant, bytes: usize, urgency: Urgency) -> bool {
         self.earn(now);
         #[expect(clippy::cast_precision_loss, reason = "a datagram is small")]
         let bytes = bytes as f64;
-        let is_there = self.left - bytes >= self.most() * urgency.reserve();
-        if is_there {
+        let is_enough = self.left - bytes >= self.most() * urgency.reserve();
+        if is_enough {
             self.left -= bytes;
         }
-        is_there
+        is_enough
     }
 
     fn earn(&mut self, now: Instant) {
@@ -92,7 +93,8 @@
         self.at = self.at.max(now);
     }
 
+    /// Returns the maximum savings.
     fn most(&self) -> f64 {
-        self.bytes_per_s * SAVED_FOR.as_secs_f64()
+        self.bytes_per_s * MAX_SAVINGS.as_secs_f64()
     }
 }
