--- a/crates/limehollow/src/start_tree.rs
+++ b/crates/limehollow/src/start_tree.rs
@@ -1,10 +1,10 @@
-//! Who hands the site's state to a VM that starts.
+//! A distribution tree that assigns each starting VM a parent, from which it fetches the site's state.
 //!
-//! When all VMs start at once, none of them may have to serve all others, and the platform's store even less: its reading is shared,
-//! so that what it would send grows with the VMs times the endpoints. So the few VMs that everybody knows from its settings
-//! read the store, and each places those that ask it in a tree: a VM gets the state from its parent, once that one has it. A parent
-//! has [`FANOUT`] children, so a VM sends a few copies however many start, and the last has the state after as many steps as the logarithm of
-//! their number (`docs/design/fleet.md`).
+//! When all VMs start at once, no VM may have to serve all others. Nor may the platform's store: the bytes that it
+//! would send grow with the number of VMs times the number of endpoints. Only the few VMs that all others know from
+//! their settings read the store. Each of them places the VMs that ask it in a tree, and a VM gets the state from its
+//! parent once the parent has it. A parent has at most [`FANOUT`] children, so no VM sends more than a few copies, and
+//! the last VM has the state after a number of steps that is logarithmic in the number of VMs (`docs/design/fleet.md`).
 //!
 //! ```
 //! use limehollow::log_position::LogPosition;
@@ -17,7 +17,7 @@
 //! let read_to = LogPosition::new(0, 7);
 //! assert_eq!(tree.assign_parent(now, &"a".into(), (vm(1), 250), read_to), Parent::AskedVm);
 //! assert_eq!(tree.assign_parent(now, &"a".into(), (vm(2), 250), read_to), Parent::Other(vm(1)));
-//! // Another zone has a tree of its own: the state crosses to it once.
+//! // Each zone has a tree of its own, so that the state crosses to it once.
 //! assert_eq!(tree.assign_parent(now, &"b".into(), (vm(3), 250), read_to), Parent::AskedVm);
 //! ```
 
@@ -28,49 +28,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How many VMs get the state from the same one.
+/// The maximum number of VMs that get the state from the same parent.
 pub const FANOUT: usize = 4;
-/// After how long without a VM that asks a tree is forgotten: those in it may be gone by then.
+/// The time without a request after which a tree is discarded: the VMs in it may be gone by then.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
 
-/// From whom a VM gets the state.
+/// The VM from which a starting VM fetches the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Parent {
-    /// From the VM that it has asked.
+    /// The VM that it asked.
     AskedVm,
-    /// From the VM that listens there.
+    /// The VM at this address.
     Other(SocketAddr),
 }
 
-/// The trees of those that asked one VM lately, one for each zone.
+/// The trees of the VMs that asked one VM recently, one for each zone.
 #[derive(Debug, Default)]
 pub struct StartTree {
-    zones: BTreeMap<ZoneName, Branch>,
+    zones: BTreeMap<ZoneName, ZoneTree>,
 }
 
 #[derive(Debug)]
-struct Branch {
-    /// In the order in which they asked.
+struct ZoneTree {
+    /// The VMs in the order in which they asked.
     vms: Vec<Placed>,
-    /// Where in that order each is, and how often it has asked.
+    /// The index in `vms` of each VM, and how often it has asked.
     asked: HashMap<SocketAddr, (usize, usize)>,
-    /// Those that may get children, the ones first that asked first.
+    /// The indices of the VMs that may get children, in the order in which they asked.
     open: VecDeque<usize>,
-    /// The processor of all that asked, in thousandths of a core.
+    /// The total processor of these VMs, in thousandths of a core.
     millicores: u64,
+    /// When a VM asked last.
     last: Instant,
+    /// How far the asked VM had read the list.
     position: LogPosition,
 }
 
 #[derive(Debug)]
 struct Placed {
     vm: SocketAddr,
-    /// Its parent's place; none where it gets the state from the VM that was asked.
+    /// Its parent's index; `None` if the parent is the VM that was asked.
     parent: Option<usize>,
     children: usize,
 }
 
-impl Branch {
+impl ZoneTree {
     fn new(now: Instant, position: LogPosition) -> Self {
         Self {
             position,
@@ -82,7 +84,9 @@
         }
     }
 
-    /// Places a VM that asks for the first time. Weaker ones than most get no children: whoever waits for them waits long.
+    /// Adds a VM that asks for the first time and returns its index.
+    ///
+    /// A VM with less processor than the average gets no children, as they would wait long for it.
     fn add(&mut self, vm: SocketAddr, millicores: u32) -> usize {
         let parent = self.open.front().copied();
         if let Some(p) = parent {
@@ -107,10 +111,10 @@
 }
 
 impl StartTree {
-    /// Gives from whom a VM gets the state that has just started, with its processor in thousandths of a core.
+    /// Returns the parent of a starting VM, given its address and its processor in thousandths of a core.
     ///
-    /// One that asks again got nothing from its parent, and is sent to the parent's parent. `position` is how far the list has been read by
-    /// the VM that is asked: once it has read on, those that ask miss something else, and there is a new tree for them.
+    /// A VM that asks again got nothing from its parent, and is sent to the parent's parent. `position` is how far the
+    /// asked VM has read the list. Once it has read further, the VMs that ask need other records, and get a new tree.
     pub fn assign_parent(
         &mut self,
         now: Instant,
@@ -118,22 +122,22 @@
         (vm, millicores): (SocketAddr, u32),
         position: LogPosition,
     ) -> Parent {
-        let branch = self.zones.entry(zone.clone());
-        let branch = branch.or_insert_with(|| Branch::new(now, position));
-        let is_old = now.saturating_duration_since(branch.last) > FORGOTTEN_AFTER;
-        if is_old || position != branch.position {
-            *branch = Branch::new(now, position);
+        let tree = self.zones.entry(zone.clone());
+        let tree = tree.or_insert_with(|| ZoneTree::new(now, position));
+        let is_old = now.saturating_duration_since(tree.last) > FORGOTTEN_AFTER;
+        if is_old || position != tree.position {
+            *tree = ZoneTree::new(now, position);
         }
-        branch.last = now;
-        let (at, before) = match branch.asked.get(&vm) {
+        tree.last = now;
+        let (at, before) = match tree.asked.get(&vm) {
             Some(place) => *place,
-            None => (branch.add(vm, millicores), 0),
+            None => (tree.add(vm, millicores), 0),
         };
-        branch.asked.insert(vm, (at, before + 1));
-        let mut giver = branch.vms[at].parent;
+        tree.asked.insert(vm, (at, before + 1));
+        let mut parent = tree.vms[at].parent;
         for _ in 0..before {
-            giver = giver.and_then(|p| branch.vms[p].parent);
+            parent = parent.and_then(|p| tree.vms[p].parent);
         }
-        giver.map_or(Parent::AskedVm, |p| Parent::Other(branch.vms[p].vm))
+        parent.map_or(Parent::AskedVm, |p| Parent::Other(tree.vms[p].vm))
     }
 }
