--- a/crates/limehollow/src/log_position.rs
+++ b/crates/limehollow/src/log_position.rs
@@ -1,16 +1,16 @@
-//! Where in a log of the platform's store somebody has read to.
+//! The position up to which a log of the platform's store was read.
 //!
-//! The store may come back from a copy that is some seconds old. What it acknowledged since is gone, its offsets go back and
-//! are given out again, and its era rises by one. So an offset alone says nothing about another one: positions are compared by era
-//! first (`docs/design/store-eras.md`).
+//! The store may be restored from a copy that is some seconds old. What it acknowledged since is lost, its offsets fall
+//! and are assigned again, and its era rises by one. Offsets alone therefore can't be compared; positions are compared
+//! by era first (`docs/design/store-eras.md`).
 //!
 //! ```
 //! use limehollow::log_position::LogPosition;
 //!
 //! let before = LogPosition::new(1, 461);
 //! let after = LogPosition::new(2, 453);
-//! assert!(after > before, "who has read after the return is further");
-//! assert!(!after.covers(before), "but hasn't seen all that the other has");
+//! assert!(after > before, "a position of a later era is further");
+//! assert!(!after.covers(before), "but doesn't cover an earlier era");
 //! assert!(after.covers(LogPosition::new(2, 450)));
 //! ```
 
@@ -19,7 +19,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 
-/// A position in a log; the first one where nothing has been read.
+/// A position in a log; the default is the start, before anything was read.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,52 +29,52 @@
     offset: u64,
 }
 
-/// A text that is no position.
+/// An error returned when a text is no valid position.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{text:?} is no position: ERA.OFFSET is expected"))]
+#[snafu(display("invalid log position {text:?}: expected ERA.OFFSET"))]
 pub struct ParsePositionError {
     text: String,
 }
 
 impl LogPosition {
-    /// Makes the position at an offset of an era.
+    /// Creates the position at an offset of an era.
     #[must_use]
     pub const fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
     }
 
-    /// Gives the era: how often the store has come back from a copy.
+    /// Returns the era: the number of times that the store was restored from a copy.
     #[must_use]
     pub const fn era(self) -> u64 {
         self.era
     }
 
-    /// Gives the offset.
+    /// Returns the offset within the era.
     #[must_use]
     pub const fn offset(self) -> u64 {
         self.offset
     }
 
-    /// Tells whether nothing has been read.
+    /// Returns `true` if nothing was read.
     #[must_use]
     pub fn is_start(self) -> bool {
         self == Self::default()
     }
 
-    /// Tells whether what was read up to this position has all that was read up to another one.
+    /// Returns `true` if all that was read up to `other` was also read up to this position.
     #[must_use]
     pub const fn covers(self, other: Self) -> bool {
         self.era == other.era && self.offset >= other.offset
     }
 
-    /// Gives the position so many records further on.
+    /// Returns the position `records` records further on.
     #[must_use]
     pub fn advanced_by(self, records: usize) -> Self {
         let records = u64::try_from(records).unwrap_or(u64::MAX);
         Self::new(self.era, self.offset.saturating_add(records))
     }
 
-    /// Gives how many records lie between this position and a later one; none if that is of another era, or no later one.
+    /// Returns the number of records from this position to a later one; 0 if `later` is of another era or isn't later.
     #[must_use]
     pub const fn records_to(self, later: Self) -> u64 {
         if self.era == later.era {
