--- a/crates/limehollow/src/listing.rs
+++ b/crates/limehollow/src/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform's membership list says, and what a look at an endpoint shows.
+//! Entries of the platform's membership list, and observations of endpoints.
 
 use crate::id::{Incarnation, ModelName, ServiceName, VmName, ZoneName};
 use crate::load::LoadReport;
@@ -7,14 +7,14 @@
 use smol_str::SmolStr;
 use tokio::time::Instant;
 
-/// What a VM on the list is.
+/// The kind of a VM on the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListedKind {
-    /// An entry VM of ours.
+    /// An entry VM of this system.
     Entry,
-    /// A model engine, and whether it checks fencing numbers.
+    /// A model engine.
     Engine {
-        /// Whether it refuses orders with an old fencing number.
+        /// Whether it rejects orders with an outdated fencing number.
         checks_fencing: bool,
     },
     /// A plain service.
@@ -31,35 +31,35 @@
     pub vm: VmName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens, as `IP:PORT`.
+    /// The address that it listens at, as `IP:PORT`.
     pub address: SmolStr,
-    /// Whether it is on its way out.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// What it is.
+    /// Its kind.
     pub kind: ListedKind,
 }
 
-/// What an endpoint showed when it was looked at.
+/// One observation of an endpoint, as it reported itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// When the look began; what it shows may be older by the longest lag of a report.
+    /// When the observation began; the state may be older by the maximum lag of a report.
     pub began: Instant,
     /// The endpoint's incarnation.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// The endpoint's kind.
     pub kind: EndpointKind,
     /// The models that are loaded.
     pub residents: Vec<Resident>,
     /// The models that are being loaded or unloaded.
     pub changing: Vec<(Place, ModelVersion)>,
-    /// How many requests each model has, running or waiting.
+    /// The number of requests of each model, running or waiting.
     pub running: Vec<(ModelName, u32)>,
     /// The load of the whole endpoint.
     pub load: LoadReport,
 }
 
 impl Observation {
-    /// Tells whether a model is loaded at a place.
+    /// Returns `true` if a model is loaded on an accelerator.
     #[must_use]
     pub fn has(&self, place: &Place, model: &ModelVersion) -> bool {
         self.residents
@@ -67,7 +67,7 @@
             .any(|r| r.place == *place && r.model == *model)
     }
 
-    /// Tells whether a model is being loaded or unloaded at a place.
+    /// Returns `true` if a model is being loaded or unloaded on an accelerator.
     #[must_use]
     pub fn is_changing(&self, place: &Place, model: &ModelVersion) -> bool {
         self.changing.iter().any(|(p, m)| p == place && m == model)
