--- a/crates/limehollow/src/instance.rs
+++ b/crates/limehollow/src/instance.rs
@@ -1,7 +1,7 @@
-//! Which start of an endpoint is meant.
+//! Identifies one start of an endpoint.
 //!
-//! An endpoint may start again under the id that it had. It then holds nothing, counts its orders anew, and knows
-//! nothing of what was under way. So whatever is believed of an endpoint is believed of one start of it
+//! An endpoint may restart under the same id. It then holds no models, counts its orders from zero and has lost the
+//! requests in progress. Everything known about an endpoint is therefore known about one start of it
 //! (`docs/design/system.md`, "Endpoints that start again").
 
 use serde::{Deserialize, Serialize};
@@ -22,21 +22,21 @@
 pub struct Instance {
     /// The endpoint's id, which names it in requests and orders.
     pub id: SmolStr,
-    /// When it started, in Unix milliseconds by its own clock; none if it doesn't say. It is only ever compared with
-    /// other words of the same endpoint, never with a clock of this process.
+    /// When it started, in Unix milliseconds by its own clock; `None` if it doesn't report this. It is only compared
+    /// with other values of the same endpoint, never with a clock of this process.
     pub born: Option<u64>,
 }
 
-/// Tells what one start of an endpoint says of itself from what a later start says.
+/// Distinguishes the reports of one start of an endpoint from those of a later start.
 #[derive(Clone, Debug)]
 pub struct StartCheck {
     instance: Instance,
-    /// The most orders that were counted; counts rise within a start.
+    /// The highest count of orders that was reported; the count doesn't fall within a start.
     counted: u64,
 }
 
 impl StartCheck {
-    /// Makes the check for this start, of which no report has come yet.
+    /// Creates the check for a start that hasn't reported yet.
     #[must_use]
     pub fn new(instance: Instance) -> Self {
         Self {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Takes in the next report that was read from the endpoint itself, one after the other. Gives whether it is of the
-    /// same start.
+    /// Records the next report and returns `true` if it is of the same start. Reports have to come from the endpoint
+    /// itself, and in order.
     pub fn observe(&mut self, born: Option<u64>, orders_taken: u64) -> bool {
         let reporting = Instance {
             id: self.instance.id.clone(),
@@ -61,14 +61,14 @@
     }
 }
 
-/// How two starts with the same id follow on each other.
+/// The order of two starts with the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartOrder {
-    /// It is the same start, or one of them doesn't say when it was.
+    /// They are the same start, or the time of at least one is unknown.
     Same,
-    /// The start is a later one.
+    /// The start is later than the other one.
     Later,
-    /// The start is an earlier one.
+    /// The start is earlier than the other one.
     Earlier,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Tells whether both name the same start, as far as they say.
+    /// Returns `true` if both have the same id and their times, where known, are equal.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.id == other.id && self.compare(other) == StartOrder::Same
