--- a/crates/limehollow/src/roster.rs
+++ b/crates/limehollow/src/roster.rs
@@ -1,11 +1,11 @@
-//! The endpoints of a site, as far as the platform's list and the controller's reports tell.
+//! The endpoints of a site, merged from the platform's list and the controller's reports.
 //!
-//! The list lags, and doesn't say how old an entry is. A report that the controller read from the endpoint itself
-//! goes before entries that come within [`REPORT_PREFERRED`] after it. Reports count the endpoint's orders, so of
-//! two reports of one start the newer one is known.
+//! The list lags and has no timestamps. A report that the controller read from the endpoint itself takes precedence
+//! over entries that arrive within [`REPORT_PREFERRED`] after it. Reports count the endpoint's orders, which shows the
+//! newer of two reports of one start.
 //!
-//! A key stands for one start of an endpoint ([`Instance`]). A later start gets a new key, so that all that is believed
-//! of the former one, here and elsewhere, goes with the former key.
+//! A key stands for one start of an endpoint ([`Instance`]). A later start gets a new key, so that everything recorded
+//! about the former start, here and in other modules, is dropped with its key.
 
 use crate::id::{EndpointKey, ServiceName, ZoneName};
 use crate::instance::{Instance, StartOrder};
@@ -17,13 +17,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long a report goes before what the list says: the list's own lag, two heartbeats and some.
+/// The time for which a report takes precedence over the list: the list's lag, two heartbeats and a margin.
 pub const REPORT_PREFERRED: Duration = Duration::from_millis(3000);
-/// An entry that came so long after the last report was written after it: a heartbeat and the time that a change of
-/// the list takes to be read.
+/// The time after the last report from which on an arriving entry was certainly written later than the report: a
+/// heartbeat, and the time until a change of the list is read.
 const WRITTEN_AFTER: Duration = Duration::from_millis(2000);
 
-/// A model with, perhaps, one of its adapters.
+/// A model, optionally with one of its adapters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ModelRef {
     /// The model.
@@ -37,14 +37,14 @@
 pub struct Held {
     /// The version of its weights.
     pub version: u64,
-    /// The adapters that are there with it.
+    /// Its adapters that are loaded.
     pub adapters: BTreeSet<SmolStr>,
 }
 
 /// The models that an endpoint holds, by name.
 pub type Holdings = BTreeMap<SmolStr, Held>;
 
-/// Tells whether a model, and the adapter if one is named, is among what an endpoint holds.
+/// Returns `true` if `holdings` contains a model and, if one is named, its adapter.
 #[must_use]
 pub fn holds(holdings: &Holdings, wanted: &ModelRef) -> bool {
     let Some(held) = holdings.get(&wanted.model) else {
@@ -59,59 +59,59 @@
 /// One endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Which start of the endpoint it is.
+    /// The start of the endpoint.
     pub instance: Instance,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
-    /// For how long it was to stay cold when it wrote this, in ms.
+    /// The remaining time for which it is cold, as of the writing of the entry, in ms.
     pub cold_ms: u32,
-    /// What it holds.
+    /// The models that it holds.
     pub holdings: Holdings,
-    /// The models whose weights it has a copy of in its memory or on its disk, and can load soon.
+    /// The models whose weights are in its memory or on its disk, so that it can load them quickly.
     pub copies: BTreeSet<SmolStr>,
 }
 
-/// What the controller knows of an endpoint's holdings.
+/// The controller's report of an endpoint's holdings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HoldingsReport {
-    /// The start of the endpoint that it speaks of.
+    /// The start of the endpoint that the report is about.
     pub instance: Instance,
-    /// What it holds, less what is about to go.
+    /// The models that it holds, without those that are about to be unloaded.
     pub holdings: Holdings,
-    /// How many orders it had taken.
+    /// The number of orders that it had accepted.
     pub orders_taken: u64,
 }
 
 #[derive(Debug)]
 struct Row {
     endpoint: Endpoint,
-    /// When the last report came, and how many orders it counted.
+    /// When the last report arrived, and the number of orders in it.
     reported: Option<(Instant, u64)>,
-    /// What the list said while the report went before it, and when.
+    /// The holdings of the last entry that arrived while the report took precedence, and when it arrived.
     held_back: Option<(Instant, Holdings)>,
-    /// Whether the list says when the endpoint started.
+    /// Whether the list has the time of the endpoint's start.
     lists_born: bool,
 }
 
-/// What a command changed.
+/// The result of a command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Update {
-    /// Whether anything is new: for an entry the endpoint or its start, for a report what it holds.
+    /// Whether anything changed: for an entry the endpoint or its start, for a report the holdings.
     pub is_new: bool,
-    /// The key of a former start, which is gone: what is believed of it has to be forgotten.
+    /// The key of a former start, which is gone: state that is recorded under it has to be dropped.
     pub replaced: Option<EndpointKey>,
 }
 
 impl Update {
-    /// Tells whether it shows that the endpoint started again.
+    /// Returns `true` if the update shows that the endpoint restarted.
     #[must_use]
     pub fn is_restart(self) -> bool {
         self.is_new && self.replaced.is_some()
@@ -128,59 +128,60 @@
         }
     }
 
-    /// Tells whether a report of the same start was made before the last one.
+    /// Returns `true` if a report of the same start is older than the last one.
     ///
-    /// Where the endpoint doesn't say when it started, a lower count may also mean that it started again: after the
-    /// time for which a report goes before the list, which is longer than a message is repeated, it is believed.
-    /// Otherwise nothing would be known of it until its orders had caught up.
+    /// If the endpoint doesn't report the time of its start, a lower count may also mean that it restarted. Such a
+    /// report is accepted after [`REPORT_PREFERRED`], which is longer than messages are repeated. Otherwise all reports
+    /// would be ignored until the new start's count had caught up.
     fn is_older_report(&self, now: Instant, r: &HoldingsReport) -> bool {
         let Some((at, taken)) = self.reported else {
             return false;
         };
-        let says_start = self.endpoint.instance.born.is_some() && r.instance.born.is_some();
+        let has_start_time = self.endpoint.instance.born.is_some() && r.instance.born.is_some();
         let is_recent = now.duration_since(at) < REPORT_PREFERRED;
-        r.orders_taken < taken && (says_start || is_recent)
+        r.orders_taken < taken && (has_start_time || is_recent)
     }
 
+    /// Returns `true` if the last report takes precedence over the list.
     fn is_report_preferred(&self, now: Instant) -> bool {
         let preferred = |at: Instant| now.duration_since(at) < REPORT_PREFERRED;
         self.reported.is_some_and(|(at, _)| preferred(at))
     }
 }
 
-/// How many starts are remembered that said that they leave: an endpoint is gone seconds to minutes after it.
+/// The number of starts remembered as leaving: an endpoint is gone seconds to minutes after it announces this.
 const MOST_LEFT: usize = 1024;
 
 /// All endpoints.
 #[derive(Debug, Default)]
 pub struct Roster {
     rows: SlotMap<EndpointKey, Row>,
-    /// The start that is known of each endpoint, by its id.
+    /// The key of each endpoint's known start, by id.
     keys: BTreeMap<SmolStr, EndpointKey>,
-    /// The ids whose entries can't be read: they name no endpoint to use.
+    /// The ids whose entries can't be parsed; such an entry yields no endpoint.
     unreadable: BTreeSet<SmolStr>,
-    /// The zones whose endpoints get no new work, by the operators' word.
+    /// The zones that operators evacuated; their endpoints get no new work.
     evacuated: BTreeSet<ZoneName>,
-    /// Starts that said themselves that they leave, the last ones first. That outlasts their entries, which may go and come back with the
-    /// platform's store.
+    /// The starts that announced that they leave, the latest first. They are kept independently of the entries, which
+    /// may disappear and reappear with the platform's store.
     left: VecDeque<Instance>,
 }
 
 /// Queries.
 impl Roster {
-    /// Gives an endpoint.
+    /// Returns an endpoint.
     #[must_use]
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.rows.get(key).map(|r| &r.endpoint)
     }
 
-    /// Gives the key of the start that is known of an endpoint.
+    /// Returns the key of an endpoint's known start.
     #[must_use]
     pub fn key(&self, id: &str) -> Option<EndpointKey> {
         self.keys.get(id).copied()
     }
 
-    /// Gives the key of just this start of an endpoint.
+    /// Returns the key of exactly this start of an endpoint.
     #[must_use]
     pub fn find(&self, instance: &Instance) -> Option<EndpointKey> {
         let key = self.key(&instance.id)?;
@@ -188,17 +189,17 @@
         known.is_same(instance).then_some(key)
     }
 
-    /// Gives the ids whose entries can't be read.
+    /// Returns the ids whose entries can't be parsed.
     pub fn unreadable(&self) -> impl Iterator<Item = &SmolStr> {
         self.unreadable.iter()
     }
 
-    /// Gives all endpoints, those that are leaving too, in the order of their instances' names.
+    /// Returns all endpoints, including leaving ones, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.keys.values().map(|k| (*k, &self.rows[*k].endpoint))
     }
 
-    /// Gives the endpoints of a service that take work.
+    /// Returns the endpoints of a service that accept new work.
     pub fn open<'r>(
         &'r self,
         service: &'r ServiceName,
@@ -207,7 +208,7 @@
             .filter(move |(_, e)| e.service == *service && self.is_open(e))
     }
 
-    /// Tells whether an endpoint takes new work: it doesn't leave, nor is its zone evacuated.
+    /// Returns `true` if an endpoint accepts new work: it isn't leaving and its zone isn't evacuated.
     #[must_use]
     pub fn takes_work(&self, key: EndpointKey) -> bool {
         self.get(key).is_some_and(|e| self.is_open(e))
@@ -217,18 +218,18 @@
         !e.leaving && !self.evacuated.contains(&e.zone)
     }
 
-    /// Gives the zones that are evacuated.
+    /// Returns the evacuated zones.
     pub fn evacuated(&self) -> impl Iterator<Item = &ZoneName> {
         self.evacuated.iter()
     }
 
-    /// Tells how many endpoints there are.
+    /// Returns the number of endpoints.
     #[must_use]
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns `true` if there are no endpoints.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
@@ -237,9 +238,9 @@
 
 /// Commands.
 impl Roster {
-    /// Takes in an entry of the platform's list.
+    /// Applies an entry of the platform's list.
     ///
-    /// An entry of an earlier start than the one that is known changes nothing: it was written before, and read late.
+    /// An entry of an earlier start than the known one is ignored: it was written before, and read late.
     pub fn apply_entry(&mut self, now: Instant, mut entry: Endpoint) -> Update {
         let lists_born = entry.instance.born.is_some();
         let Some(key) = self.key(&entry.instance.id) else {
@@ -253,18 +254,17 @@
             StartOrder::Same => {}
         }
         if row.lists_born && !lists_born {
-            // The endpoint says when it started with each heartbeat; another writer didn't know.
+            // The endpoint writes the time of its start with each heartbeat, so this entry is by another writer.
             let replaced = self.set_unreadable(entry.instance.id);
             return Update {
                 is_new: false,
                 replaced,
             };
         }
-        // An endpoint that began to leave doesn't come back in the same start, whatever an entry that was read late
-        // says.
+        // An endpoint that began to leave doesn't return within the same start, even if a late entry indicates it.
         entry.leaving |= known.leaving;
         if (known.address, &known.service) != (entry.address, &entry.service) {
-            // Connections and measurements belong to what was at the former address.
+            // Connections and measurements belong to the endpoint at the former address.
             return self.replace(key, entry, lists_born);
         }
         row.held_back = None;
@@ -278,10 +278,10 @@
         Update::default()
     }
 
-    /// Takes in what the controller knows.
+    /// Applies a report of the controller.
     ///
-    /// A report of a later start than the list shows is the first word of it: the endpoint is used from then on as the
-    /// report says, with nothing at hand, since what the list says of copies was true of the former start.
+    /// A report of a later start than the listed one replaces the endpoint. Its copies are cleared, since the listed
+    /// copies were those of the former start.
     pub fn apply_report(&mut self, now: Instant, r: &HoldingsReport) -> Update {
         let Some(key) = self.key(&r.instance.id) else {
             return Update::default();
@@ -347,11 +347,11 @@
         }
     }
 
-    /// Takes in what the list said while a report went before it, once the report is old. Gives whether anything
+    /// Applies entries that were held back once the reports that took precedence are old. Returns `true` if anything
     /// changed.
     ///
-    /// The list doesn't repeat an entry that hasn't changed: without this a report that came to nothing, such as
-    /// that of an unload whose order was lost, would stand for good.
+    /// The list doesn't repeat unchanged entries. Without this, a report that never took effect, such as that of an
+    /// unload whose order was lost, would stay in force forever.
     pub fn apply_held_back(&mut self, now: Instant) -> bool {
         let mut news = false;
         for row in self.rows.values_mut() {
@@ -372,7 +372,7 @@
         news
     }
 
-    /// Evacuates a zone or takes it back. Gives whether that is news.
+    /// Evacuates a zone or ends its evacuation. Returns `true` if this changed anything.
     pub fn set_evacuated(&mut self, zone: &ZoneName, is_evacuated: bool) -> bool {
         if is_evacuated {
             self.evacuated.insert(zone.clone())
@@ -381,15 +381,17 @@
         }
     }
 
-    /// Takes an endpoint out of use that is known to be gone, or to leave.
+    /// Marks an endpoint as leaving or gone, so that it gets no new work.
     pub fn mark_leaving(&mut self, key: EndpointKey) {
         if let Some(row) = self.rows.get_mut(key) {
             row.endpoint.leaving = true;
         }
     }
 
-    /// Notes that a start of an endpoint said itself that it leaves, which is final: no entry that was read late, went or came
-    /// back brings it into use again. Gives whether it is news.
+    /// Records that a start of an endpoint announced that it leaves. Returns `true` if it wasn't marked as leaving
+    /// before.
+    ///
+    /// This is final: no entry that is read late, disappears or reappears brings the start into use again.
     pub fn note_leaving(&mut self, instance: &Instance) -> bool {
         if !self.has_left(instance) {
             self.left.push_front(instance.clone());
@@ -407,8 +409,7 @@
         self.left.iter().any(|i| i.is_same(instance))
     }
 
-    /// Notes that an endpoint said itself that it doesn't hold something, until it is listed or reported
-    /// anew.
+    /// Removes a model or adapter that an endpoint answered not to hold, until the next entry or report.
     pub fn remove_holding(&mut self, key: EndpointKey, missing: &ModelRef) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
@@ -426,20 +427,21 @@
         }
     }
 
-    /// Takes an endpoint out of use whose entry can't be read: the entry names no endpoint. What it is sent already
-    /// goes on; a later entry that can be read brings it back. Gives its key if it was in use.
+    /// Removes an endpoint whose entry can't be parsed and returns its key if it was in use.
+    ///
+    /// Requests that were already sent to it continue. A later valid entry adds it again.
     pub fn set_unreadable(&mut self, id: SmolStr) -> Option<EndpointKey> {
         let key = self.remove(&id);
         self.unreadable.insert(id);
         key
     }
 
-    /// Leaves only those ids among the unreadable ones that a whole reading of the list showed.
+    /// Keeps only those unreadable ids that a full read of the list showed.
     pub fn retain_unreadable(&mut self, shown: &BTreeSet<SmolStr>) {
         self.unreadable.retain(|id| shown.contains(id));
     }
 
-    /// Drops an endpoint that is off the list.
+    /// Removes an endpoint that is no longer listed and returns its key.
     pub fn remove(&mut self, id: &str) -> Option<EndpointKey> {
         self.unreadable.remove(id);
         let key = self.keys.remove(id)?;
