--- a/crates/limehollow/src/crash_record.rs
+++ b/crates/limehollow/src/crash_record.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of a request under which endpoints crashed.
+//! The records that VMs exchange about requests during which endpoints crashed.
 
 use crate::fingerprint::{Fingerprint, OriginTag};
 use crate::instance::Instance;
@@ -8,21 +8,23 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How long after its first result a crash counts as early. A request that crashes what begins to run it does so in its first
-/// steps, of some tens of ms each; streams go on for 1.4 s and more, so most that run beside it are past this.
+/// The time after a request's first result up to which a crash counts as early.
+///
+/// A request that crashes its endpoint does so in its first steps, of some tens of ms each. Streams take 1.4 s and
+/// more, so most requests that run beside it are past this time.
 pub const EARLY: Duration = Duration::from_millis(300);
 
-/// When in its run an endpoint's end hit a request.
+/// The phase of a request in which its endpoint crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Timing {
     /// Before its first result, or up to [`EARLY`] after it.
     Early,
-    /// Later.
+    /// More than [`EARLY`] after its first result.
     Late,
 }
 
 impl Timing {
-    /// Gives the timing of a crash, by how long before it the first result came.
+    /// Returns the timing of a crash, given the time from the first result to the crash, or `None` without a result.
     #[must_use]
     pub fn of(since_first: Option<Duration>) -> Self {
         match since_first {
@@ -32,8 +34,10 @@
     }
 }
 
-/// Names one start of an endpoint, as far as crashes have to be told apart: two that have the same tag, one pair of 65,536, count
-/// as one, and the request needs one crash more.
+/// A short hash of one start of an endpoint, to count crashes of different starts.
+///
+/// Two starts have the same tag with a probability of one in 65,536. They then count as one, and it takes one more
+/// crash to quarantine the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartTag(u16);
@@ -54,17 +58,17 @@
     }
 }
 
-/// What VMs tell each other of one request.
+/// What a VM knows of the crashes during one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The request.
     pub request: Fingerprint,
-    /// Where it came from when an endpoint crashed under it; of several the least.
+    /// Where it came from when an endpoint crashed during it; the lowest of several.
     pub origin: OriginTag,
-    /// Rises when it is cleared; what was known of a lower one counts no more.
+    /// A generation that rises when the request is cleared; records of lower generations are ignored.
     pub generation: u32,
-    /// The starts of endpoints that ended under it, each once, and when in its run.
+    /// The starts of endpoints that crashed during the request, and in which phase of it.
     pub crashes: BTreeMap<StartTag, Timing>,
-    /// How long ago the last of them ended or it was cleared, in ms.
+    /// The time since the last of these crashes, or since the request was cleared, in ms.
     pub age_ms: u32,
 }
