--- a/crates/limehollow/src/crash_watch.rs
+++ b/crates/limehollow/src/crash_watch.rs
@@ -1,8 +1,8 @@
-//! Whether a connection that ended shows that its endpoint did.
+//! Decides whether a lost connection to an endpoint was caused by a crash of the endpoint.
 //!
-//! A connection to an endpoint also ends when a link is reset, when the endpoint closes it, or when it spoils an answer.
-//! So the requests that were cut off wait here until it is known: a crash is when nobody listens at the endpoint's
-//! address any more, another start answers there, or its entry goes, without its having said that it leaves.
+//! A connection also ends when a link is reset, when the endpoint closes it, or when an answer is malformed.
+//! Interrupted requests therefore wait here until the cause is known. An endpoint has crashed if nothing listens at its
+//! address any more, if another start answers there, or if its entry disappears, and it didn't announce that it leaves.
 
 use crate::crash_record::Timing;
 use crate::fingerprint::{Fingerprint, OriginTag};
@@ -11,26 +11,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long it is waited: an endpoint that is silent is off the platform's list after five seconds at most.
-const WAITED_FOR: Duration = Duration::from_secs(6);
+/// The time for which interrupted requests wait. A silent endpoint is off the platform's list after five seconds at
+/// most.
+const WAIT_LIMIT: Duration = Duration::from_secs(6);
 
-/// A request whose connection to an endpoint ended.
+/// A request that was interrupted by the end of its connection to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CutOff {
     /// The request.
     pub request: Fingerprint,
-    /// Where it came from.
+    /// The origin of the request.
     pub origin: OriginTag,
-    /// When in its run that was.
+    /// The phase of the request in which it was interrupted.
     pub timing: Timing,
 }
 
-/// What is to be done about a connection that ended.
+/// The state of the check whether an endpoint crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It is to be found out whether the endpoint lives.
+    /// The caller has to start probing the endpoint.
     New,
-    /// That is under way.
+    /// A check is already in progress.
     Pending,
     /// The endpoint has crashed.
     Crashed,
@@ -39,20 +40,20 @@
 #[derive(Debug)]
 struct Watched {
     since: Instant,
-    /// Whether its address is being asked.
+    /// Whether its address is being probed.
     is_probing: bool,
     has_crashed: bool,
     cut_off: Vec<CutOff>,
 }
 
-/// The endpoints that may have crashed.
+/// The endpoints that may have crashed, with the requests that they interrupted.
 #[derive(Debug, Default)]
 pub struct CrashWatch {
     rows: BTreeMap<Instance, Watched>,
 }
 
 impl CrashWatch {
-    /// Notes that a connection to a start of an endpoint ended under a request.
+    /// Records that a connection to a start of an endpoint ended during a request.
     pub fn record_cut_off(&mut self, now: Instant, start: &Instance, c: CutOff) -> Suspicion {
         if let Some(row) = self.rows.get_mut(start) {
             if row.has_crashed {
@@ -71,7 +72,7 @@
         Suspicion::New
     }
 
-    /// Notes that a start has ended. Gives the requests that were cut off by it.
+    /// Records that a start has crashed and returns the requests that it interrupted.
     pub fn record_crash(&mut self, start: &Instance) -> Vec<CutOff> {
         let Some(row) = self.rows.get_mut(start) else {
             return Vec::new();
@@ -80,23 +81,23 @@
         std::mem::take(&mut row.cut_off)
     }
 
-    /// Notes that nothing more is to be had from a start's address: unless the list says so, it hasn't crashed.
+    /// Ends the probing of a start's address without a result: only the list can still show that it has crashed.
     pub fn end_probe(&mut self, start: &Instance) {
         if let Some(row) = self.rows.get_mut(start) {
             row.is_probing = false;
         }
     }
 
-    /// Tells whether a start's address is being asked.
+    /// Returns `true` if a start's address is being probed.
     #[must_use]
     pub fn is_probing(&self, start: &Instance) -> bool {
         let row = self.rows.get(start);
         row.is_some_and(|r| r.is_probing && !r.has_crashed)
     }
 
-    /// Forgets what was too long ago.
+    /// Drops entries that have waited for too long.
     pub fn sweep(&mut self, now: Instant) {
         self.rows
-            .retain(|_, r| now.saturating_duration_since(r.since) < WAITED_FOR);
+            .retain(|_, r| now.saturating_duration_since(r.since) < WAIT_LIMIT);
     }
 }
