--- a/crates/limehollow/src/fingerprint.rs
+++ b/crates/limehollow/src/fingerprint.rs
@@ -1,9 +1,9 @@
-//! What makes two requests the same request.
+//! Fingerprints that identify a request when it is sent again.
 //!
-//! A request that is sent again has a new id, comes to another VM, and often from another address: callers stand behind
-//! several. What stays is what is asked, and who asks where the protocol names it; these are hashed. The hash is a
-//! cryptographic one, cut to 128 bits: a caller who could make two requests of one fingerprint could have those of another
-//! caller refused (`docs/design/crashing-requests.md`).
+//! A repeated request has a new id, arrives at another VM, and often comes from another address, since callers use
+//! several. Its content stays the same, and so does the caller where the protocol names it; the fingerprint is a hash
+//! of these. The hash is cryptographic, truncated to 128 bits: a caller who could construct a request with the
+//! fingerprint of another caller's request could get the latter rejected (`docs/design/crashing-requests.md`).
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu};
@@ -11,25 +11,25 @@
 use std::net::IpAddr;
 use std::str::FromStr;
 
-/// The bytes of a fingerprint.
+/// The length of a fingerprint in bytes.
 const LEN: usize = 16;
 
-/// What a fingerprint is taken of.
+/// The parts of a request that are hashed.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
-    /// Who asks, as the protocol names it; empty where it names nobody.
+    /// The caller by the protocol's name for it; empty if the protocol doesn't name the caller.
     pub caller: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that is asked.
+    /// The requested host.
     pub host: &'a str,
-    /// The path, and the query if there is one.
+    /// The path, with the query string if there is one.
     pub path: &'a str,
-    /// The whole body.
+    /// The full body.
     pub body: &'a [u8],
 }
 
-/// Tells a request from others across VMs, ids and addresses.
+/// A hash that identifies a request across VMs, request ids and addresses.
 ///
 /// ```
 /// use limehollow::fingerprint::{Fingerprint, Identity};
@@ -49,7 +49,7 @@
 #[serde(transparent)]
 pub struct Fingerprint([u8; LEN]);
 
-/// Tells where requests come from, as far as shares of something bounded go: a hash of the caller's address.
+/// A short hash of a caller's address, by which bounded resources are shared among callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OriginTag([u8; 4]);
@@ -67,7 +67,7 @@
 }
 
 impl Fingerprint {
-    /// Takes the fingerprint of a request.
+    /// Returns the fingerprint of a request.
     #[must_use]
     pub fn of(identity: &Identity<'_>) -> Self {
         let mut h = blake3::Hasher::new();
@@ -78,7 +78,7 @@
             identity.path,
         ];
         for t in texts {
-            // The length goes first, so that no two parts can stand for two others.
+            // The length prefix keeps two different sequences of parts from having the same bytes.
             h.update(&(t.len() as u64).to_le_bytes());
             h.update(t.as_bytes());
         }
@@ -97,7 +97,7 @@
     out
 }
 
-/// A text that is no fingerprint.
+/// An error returned when a text is no valid fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("must be {} hexadecimal digits", 2 * LEN))]
 pub struct ParseFingerprintError;
@@ -112,7 +112,7 @@
         }
         for (i, b) in bytes.iter_mut().enumerate() {
             let digits = &s[2 * i..2 * i + 2];
-            // What is wrong with a digit says no more than that it isn't one.
+            // The cause adds nothing to the error: it says only that a character is no hexadecimal digit.
             *b = u8::from_str_radix(digits, 16)
                 .ok()
                 .context(ParseFingerprintSnafu)?;
