--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -1,12 +1,12 @@
-//! Which requests crash the endpoints that run them, as the VMs of a site find out together.
+//! Detects requests that crash the endpoints that run them, jointly for all VMs of a site.
 //!
-//! A crash takes with it all that an endpoint ran, up to 64 requests, and doesn't say which of them caused it. Each of
-//! them is a *suspect* then. What tells the cause from those beside it is that it comes again and crashes one start of
-//! an endpoint after the other, early in its run each time, and never gets to its end. Such a request is *quarantined*: it
-//! is refused, by every VM, for a term that doubles with each further crash.
+//! A crash interrupts all requests of an endpoint, up to 64, and doesn't show which of them caused it. Each of them
+//! becomes a *suspect*. The cause differs from the others in that it is sent again and crashes one start of an endpoint
+//! after the other, early in its run each time, and never completes. Such a request is *quarantined*: every VM rejects
+//! it for a term that doubles with each further crash.
 //!
-//! VMs tell each other records, which merge in any order to the same result: the starts that ended under a request are a
-//! set, and a whole answer begins a new generation with an empty one (`docs/design/crashing-requests.md`).
+//! VMs exchange records, and merging them gives the same result in any order: the starts that crashed during a request
+//! are a set, and a complete answer begins a new generation with an empty set (`docs/design/crashing-requests.md`).
 
 use crate::crash_record::{CrashRecord, StartTag, Timing};
 use crate::fingerprint::{Fingerprint, OriginTag};
@@ -17,48 +17,52 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Early crashes that show a request to be the cause. A stream that merely runs beside the cause is hit as early as that in one
-/// of six crashes, so three times in a row in one of 200.
+/// The number of early crashes after which a request counts as the cause.
+///
+/// A stream that merely runs beside the cause is interrupted that early in one of six crashes, so three times in a row
+/// in one of 200.
 const EARLY_CRASHES: usize = 3;
-/// Crashes of any kind that do: a cause that needs longer than [`crate::crash_record::EARLY`] is stopped by it, too. Callers who send a
-/// request again at once lose it after five crashes in a row.
+/// The number of crashes of any timing after which a request counts as the cause.
+///
+/// This also stops a cause that takes longer than [`crate::crash_record::EARLY`]. The requests of callers who retry at
+/// once are quarantined after five crashes in a row.
 const ALL_CRASHES: usize = 5;
-/// For how long a request is refused after the crash that showed it, the first time. Callers give a request up after half a
-/// minute at most, and what fixes a model or a program is rolled out in minutes.
+/// The term of the first quarantine. Callers give up on a request after half a minute at most, and a fix of a model or
+/// a program is rolled out in minutes.
 const FIRST_TERM: Duration = Duration::from_mins(10);
-/// For how long a suspect is remembered after its last crash: as long as the first term.
+/// The time for which a suspect is remembered after its last crash: as long as the first term.
 const SUSPECT_LIFE: Duration = FIRST_TERM;
-/// For how long a quarantined request is remembered after its term: one that comes back then has to prove itself.
+/// The time for which a quarantined request is remembered after its term; until then it is a suspect.
 const REMEMBERED_FOR: Duration = Duration::from_hours(24);
-/// Starts of endpoints that a record names at most; the terms grow up to 32 times the first one with them.
+/// The maximum number of starts in a record; with it the term grows up to 32 times the first one.
 const MAX_CRASHES: usize = 8;
-/// Records that are kept at most: all that ran on 64 full endpoints; 0.7 MB in memory, 0.13 MB to tell another VM.
+/// The maximum number of records: all requests of 64 full endpoints. They take 0.7 MB in memory and 0.13 MB to send.
 pub const MAX_RECORDS: usize = 4096;
-/// How many messages carry a record after an early crash, since some datagrams in a row may be lost. Records of late ones, which
-/// are most, go once: who misses them sees it by the digest.
-const TOLD_TIMES: u32 = 3;
-/// Digests that are remembered as part of what is known: those of some seconds in a burst of crashes.
+/// The number of messages that carry a record after an early crash, since several datagrams in a row may be lost.
+/// Records of late crashes, which are the majority, are sent once: a VM that misses one notices by the digest.
+const EARLY_CRASH_SENDS: u32 = 3;
+/// The number of remembered digests of contained states: those of a few seconds in a burst of crashes.
 const MAX_CONTAINED: usize = 256;
-/// Records in one message at most, so that it fits in few packets.
-const MAX_TOLD: usize = 16;
+/// The maximum number of records in one message, so that it fits in a few packets.
+const MAX_BATCH: usize = 16;
 
-/// How a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// No crash is known.
     Clear,
-    /// It may have crashed endpoints: it is to run where it takes the fewest others along.
+    /// It may have crashed endpoints, and has to run where a crash interrupts the fewest other requests.
     Suspect,
-    /// It is refused, for so long from now on.
+    /// It is rejected, for this remaining time.
     Quarantined(Duration),
 }
 
-/// What a change made of a request's standing.
+/// The result of a change to a request's record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Whether anything is new.
+    /// Whether the record changed.
     pub is_new: bool,
-    /// Whether the request is quarantined by it.
+    /// Whether the change put the request into quarantine.
     pub is_quarantined: bool,
 }
 
@@ -67,7 +71,7 @@
     origin: OriginTag,
     generation: u32,
     crashes: BTreeMap<StartTag, Timing>,
-    /// When the last of them ended, or it was cleared.
+    /// When the last crash happened, or the request was cleared.
     last: Instant,
 }
 
@@ -81,12 +85,13 @@
         }
     }
 
+    /// Returns `true` if the crashes show the request to be the cause.
     fn is_convicted(&self) -> bool {
         let early = self.crashes.values().filter(|t| **t == Timing::Early);
         early.count() >= EARLY_CRASHES || self.crashes.len() >= ALL_CRASHES
     }
 
-    /// Gives for how long it is refused after its last crash.
+    /// Returns the time for which the request is rejected after its last crash.
     fn term(&self) -> Duration {
         if !self.is_convicted() {
             return Duration::ZERO;
@@ -96,10 +101,12 @@
         FIRST_TERM * 2_u32.saturating_pow(doublings)
     }
 
+    /// Returns the remaining time of the quarantine.
     fn left(&self, now: Instant) -> Duration {
         (self.last + self.term()).saturating_duration_since(now)
     }
 
+    /// Returns the time for which the record is kept after its last change.
     fn life(&self) -> Duration {
         if self.is_convicted() {
             self.term() + REMEMBERED_FOR
@@ -108,6 +115,7 @@
         }
     }
 
+    /// Returns `true` if the record has expired.
     fn is_over(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.last) >= self.life()
     }
@@ -135,46 +143,47 @@
     }
 }
 
-/// A record that is still to be told.
+/// A record that is still to be sent to other VMs.
 #[derive(Clone, Copy, Debug)]
 struct PendingRecord {
     request: Fingerprint,
-    /// How many more messages carry it.
+    /// The number of messages that still have to carry it.
     times: u32,
-    /// Whether this VM noted it, and so tells the other zones as well.
+    /// Whether this VM recorded it itself, and so sends it to other zones as well.
     is_own: bool,
 }
 
 /// The records that go into the next messages.
 #[derive(Clone, Debug, Default)]
 pub struct RecordBatch {
-    /// Into that for the VMs of the own zone.
+    /// The records for the VMs of the own zone.
     pub own_zone: Vec<CrashRecord>,
-    /// Into that for other zones.
+    /// The records for other zones.
     pub other_zones: Vec<CrashRecord>,
 }
 
-/// What one VM knows of requests that may crash endpoints.
+/// One VM's records of requests that may crash endpoints.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     rows: BTreeMap<Fingerprint, Row>,
-    /// The digests of all rows, combined so that their order doesn't matter.
+    /// The digests of all rows, combined by XOR so that their order doesn't matter.
     digest: u64,
-    /// Digests of what is part of this, the latest first: former ones of its own, and those of VMs that told all they know.
+    /// The digests of states that this one contains, the latest first: former ones of its own, and those of VMs that
+    /// sent all their records.
     contained: VecDeque<u64>,
     /// When the digest changed last.
     changed: Option<Instant>,
-    /// What ran to its end lately.
+    /// The requests that completed recently.
     answers: RecentAnswers,
-    /// What is still to be told.
-    untold: VecDeque<PendingRecord>,
-    /// What was quarantined or cleared and isn't kept outside this process yet.
+    /// The records that are still to be sent.
+    pending: VecDeque<PendingRecord>,
+    /// The requests whose quarantine or clearing isn't saved outside this process yet.
     unsaved: BTreeSet<Fingerprint>,
 }
 
 /// Queries.
 impl Quarantine {
-    /// Tells how a request stands.
+    /// Returns the state of a request.
     #[must_use]
     pub fn standing(&self, now: Instant, request: Fingerprint) -> Standing {
         let Some(row) = self.rows.get(&request).filter(|r| !r.crashes.is_empty()) else {
@@ -188,7 +197,7 @@
         }
     }
 
-    /// Gives the quarantined requests and for how long they stay so, with the crashes that showed them.
+    /// Returns the quarantined requests, with the remaining time and the number of crashes of each.
     pub fn quarantined(
         &self,
         now: Instant,
@@ -198,45 +207,45 @@
             .map(|(f, r, left)| (*f, left, r.crashes.len()))
     }
 
-    /// Counts the requests that endpoints have ended under.
+    /// Returns the number of requests during which endpoints crashed.
     #[must_use]
     pub fn suspects(&self) -> usize {
         let rows = self.rows.values();
         rows.filter(|r| !r.crashes.is_empty()).count()
     }
 
-    /// Gives what two VMs have in common if they know the same.
+    /// Returns the digest of all records; it is the same on two VMs that have the same records.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Tells whether a VM with this digest knows nothing else.
+    /// Returns `true` if all records of a VM with this digest are known here.
     #[must_use]
     pub fn contains(&self, digest: u64) -> bool {
         digest == self.digest || self.contained.contains(&digest)
     }
 
-    /// Tells for how long nothing has changed; none if nothing ever has.
+    /// Returns the time since the last change, or `None` if nothing has changed yet.
     #[must_use]
     pub fn unchanged_for(&self, now: Instant) -> Option<Duration> {
         self.changed.map(|t| now.saturating_duration_since(t))
     }
 
-    /// Gives all records, for a VM that knows other ones.
+    /// Returns all records, for a VM whose digest differs.
     #[must_use]
     pub fn records(&self, now: Instant) -> Vec<CrashRecord> {
         let rows = self.rows.iter();
         rows.map(|(f, r)| r.record(now, *f)).collect()
     }
 
-    /// Gives what is known of a request.
+    /// Returns the record of a request.
     #[must_use]
     pub fn record(&self, now: Instant, request: Fingerprint) -> Option<CrashRecord> {
         self.rows.get(&request).map(|r| r.record(now, request))
     }
 
-    /// Gives a request whose quarantine, or whose end, isn't kept outside this process yet.
+    /// Returns a request whose quarantine or clearing isn't saved outside this process yet.
     #[must_use]
     pub fn unsaved(&self) -> Option<Fingerprint> {
         self.unsaved.first().copied()
@@ -245,7 +254,7 @@
 
 /// Commands.
 impl Quarantine {
-    /// Has all quarantined requests kept again: the platform's store has lost what was written there lately.
+    /// Marks all quarantined requests as unsaved, because the platform's store has lost its latest writes.
     pub fn mark_all_unsaved(&mut self, now: Instant) {
         let all: Vec<Fingerprint> = self.quarantined(now).map(|(request, ..)| request).collect();
         for request in all {
@@ -253,7 +262,7 @@
         }
     }
 
-    /// Notes that a start of an endpoint crashed while it had a request.
+    /// Records that a start of an endpoint crashed during a request.
     pub fn record_crash(
         &mut self,
         now: Instant,
@@ -269,10 +278,10 @@
             crashes: BTreeMap::from([(start, timing)]),
             age_ms: 0,
         };
-        let outcome = self.take_in(now, &record);
+        let outcome = self.apply(now, &record);
         if outcome.is_new {
             let is_early = timing == Timing::Early;
-            self.tell(request, if is_early { TOLD_TIMES } else { 1 });
+            self.queue_own(request, if is_early { EARLY_CRASH_SENDS } else { 1 });
         }
         if outcome.is_quarantined {
             self.unsaved.insert(request);
@@ -280,14 +289,15 @@
         outcome
     }
 
-    /// Notes that an endpoint has run a request to its end. Gives whether anything spoke against it, which it does no more.
+    /// Records that an endpoint completed a request, and clears it. Returns `true` if it was a suspect or in
+    /// quarantine.
     pub fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
         self.answers.note(now, request);
         self.clear(now, request)
     }
 
-    /// Clears a request: an endpoint has run it to its end, or an operator says so. Gives whether anything spoke against
-    /// it.
+    /// Clears a request, because an endpoint completed it or an operator asked for it. Returns `true` if it was a
+    /// suspect or in quarantine.
     pub fn clear(&mut self, now: Instant, request: Fingerprint) -> bool {
         let Some(row) = self.rows.get(&request).filter(|r| !r.crashes.is_empty()) else {
             return false;
@@ -300,24 +310,24 @@
             crashes: BTreeMap::new(),
             age_ms: 0,
         };
-        self.take_in(now, &record);
-        self.tell(request, TOLD_TIMES);
+        self.apply(now, &record);
+        self.queue_own(request, EARLY_CRASH_SENDS);
         if was_convicted {
             self.unsaved.insert(request);
         }
         true
     }
 
-    /// Takes in what another VM knows of a request.
+    /// Merges another VM's record of a request.
     pub fn merge(&mut self, now: Instant, other: &CrashRecord) -> Outcome {
-        let outcome = self.take_in(now, other);
+        let outcome = self.apply(now, other);
         if outcome.is_quarantined {
-            self.tell_again(other.request);
+            self.queue_relayed(other.request);
         }
         outcome
     }
 
-    fn take_in(&mut self, now: Instant, other: &CrashRecord) -> Outcome {
+    fn apply(&mut self, now: Instant, other: &CrashRecord) -> Outcome {
         let ago = Duration::from_millis(u64::from(other.age_ms));
         let last = now.checked_sub(ago).unwrap_or(now);
         let known = self.rows.get(&other.request);
@@ -327,7 +337,7 @@
         if other.generation < row.generation {
             return Outcome::default();
         }
-        let was_held = !row.left(now).is_zero();
+        let was_quarantined = !row.left(now).is_zero();
         if other.generation > row.generation {
             row = Row {
                 generation: other.generation,
@@ -337,9 +347,9 @@
         row.origin = row.origin.min(other.origin);
         row.last = row.last.max(last);
         for (start, timing) in &other.crashes {
-            // Of two words on one start the same one wins on every VM.
-            let kept = row.crashes.entry(*start).or_insert(*timing);
-            *kept = (*kept).min(*timing);
+            // If two VMs report different timings for one start, the same one wins on every VM.
+            let known_timing = row.crashes.entry(*start).or_insert(*timing);
+            *known_timing = (*known_timing).min(*timing);
         }
         while row.crashes.len() > MAX_CRASHES {
             row.crashes.pop_last();
@@ -358,11 +368,11 @@
         }
         Outcome {
             is_new,
-            is_quarantined: is_new && !was_held && !row.left(now).is_zero(),
+            is_quarantined: is_new && !was_quarantined && !row.left(now).is_zero(),
         }
     }
 
-    /// Keeps a row. Gives whether it says anything new.
+    /// Stores a row. Returns `true` if it changed the digest.
     fn put(&mut self, now: Instant, request: Fingerprint, row: Row) -> bool {
         if self.rows.len() >= MAX_RECORDS && !self.rows.contains_key(&request) {
             self.make_room(now);
@@ -377,8 +387,8 @@
         true
     }
 
-    /// Drops the oldest record of the origin that has the most, one that is in quarantine last: a caller who makes
-    /// crashing requests anew each time pushes out his own.
+    /// Removes the oldest record of the origin that has the most records, quarantined ones last. A caller who sends
+    /// ever new crashing requests thus evicts only records of their own.
     fn make_room(&mut self, now: Instant) {
         let mut counts: BTreeMap<OriginTag, usize> = BTreeMap::new();
         for r in self.rows.values() {
@@ -401,35 +411,36 @@
         }
     }
 
+    /// Sets the digest and remembers the former one as contained.
     fn set_digest(&mut self, now: Instant, digest: u64) {
         self.mark_contained(self.digest);
         self.digest = digest;
         self.changed = Some(now);
     }
 
-    /// Notes that all is known that a VM with this digest knows.
+    /// Records that all records of a VM with this digest are known here.
     pub fn mark_contained(&mut self, digest: u64) {
         self.contained.push_front(digest);
         self.contained.truncate(MAX_CONTAINED);
     }
 
-    /// Puts a record into the next messages.
-    fn tell(&mut self, request: Fingerprint, times: u32) {
-        self.untold.retain(|u| u.request != request);
-        self.untold.push_back(PendingRecord {
+    /// Queues a record of this VM for the next `times` messages.
+    fn queue_own(&mut self, request: Fingerprint, times: u32) {
+        self.pending.retain(|p| p.request != request);
+        self.pending.push_back(PendingRecord {
             request,
             times,
             is_own: true,
         });
     }
 
-    /// Puts a record that came from another VM into the next message for the VMs of the zone.
+    /// Queues a record of another VM for the next message to the VMs of the own zone.
     ///
-    /// A VM that has just become sure of a request says so once: with two of three messages lost, 71 VMs were sure after up to
-    /// 2.7 s, and 1.7 s with this.
-    fn tell_again(&mut self, request: Fingerprint) {
-        if self.untold.iter().all(|u| u.request != request) {
-            self.untold.push_back(PendingRecord {
+    /// A VM sends a record once when it quarantines the request because of it. With two of three messages lost, it took
+    /// up to 2.7 s until all of 71 VMs had quarantined a request, and 1.7 s with this.
+    fn queue_relayed(&mut self, request: Fingerprint) {
+        if self.pending.iter().all(|p| p.request != request) {
+            self.pending.push_back(PendingRecord {
                 request,
                 times: 1,
                 is_own: false,
@@ -437,40 +448,40 @@
         }
     }
 
-    /// Takes the records that go into the next messages.
+    /// Removes and returns the records for the next messages.
     pub fn take_batch(&mut self, now: Instant) -> RecordBatch {
-        let due = self.untold.len().min(MAX_TOLD);
-        let due: Vec<PendingRecord> = self.untold.drain(..due).collect();
-        let mut told = RecordBatch::default();
-        for u in due {
-            let Some(record) = self.record(now, u.request) else {
+        let due = self.pending.len().min(MAX_BATCH);
+        let due: Vec<PendingRecord> = self.pending.drain(..due).collect();
+        let mut batch = RecordBatch::default();
+        for p in due {
+            let Some(record) = self.record(now, p.request) else {
                 continue;
             };
-            if u.is_own {
-                told.other_zones.push(record.clone());
+            if p.is_own {
+                batch.other_zones.push(record.clone());
             }
-            told.own_zone.push(record);
-            if u.times > 1 {
-                self.untold.push_back(PendingRecord {
-                    times: u.times - 1,
-                    ..u
+            batch.own_zone.push(record);
+            if p.times > 1 {
+                self.pending.push_back(PendingRecord {
+                    times: p.times - 1,
+                    ..p
                 });
             }
         }
-        told
+        batch
     }
 
-    /// Notes that a request's quarantine, or its end, is to be kept outside this process.
+    /// Marks a request whose quarantine or clearing has to be saved outside this process.
     pub fn mark_unsaved(&mut self, request: Fingerprint) {
         self.unsaved.insert(request);
     }
 
-    /// Notes that it is kept.
+    /// Marks a request as saved.
     pub fn mark_saved(&mut self, request: Fingerprint) {
         self.unsaved.remove(&request);
     }
 
-    /// Forgets what was too long ago. Gives the requests that were in quarantine once.
+    /// Removes expired records and returns those requests that were once quarantined.
     pub fn sweep(&mut self, now: Instant) -> Vec<Fingerprint> {
         let over = self.rows.iter().filter(|(_, r)| r.is_over(now));
         let over: Vec<(Fingerprint, bool)> = over.map(|(f, r)| (*f, r.is_convicted())).collect();
