--- a/crates/limehollow/src/backpressure.rs
+++ b/crates/limehollow/src/backpressure.rs
@@ -1,10 +1,10 @@
-//! What endpoints say of what they want to be sent, and for how long it counts.
+//! Rate limits, backoffs and cold periods of endpoints, as one VM knows them.
 //!
-//! An endpoint says three things in its answers: that it leaves, which is final for its start; how many requests a second it
-//! takes of all VMs together, as long as it says so; that it wants nothing of this VM for some time. The first belongs to the
-//! [`crate::roster`], the sum over all VMs to [`crate::quota`]; here is what one VM has heard of the other two
-//! (`docs/design/backpressure.md`). Its entry on the list says one thing more: that it is cold, and for how long. Meanwhile it
-//! bears a rate that the configuration names.
+//! An endpoint sends three signals in its answers: that it leaves, which is final for its start; a rate limit in
+//! requests a second over all VMs together, in force as long as answers state it; and a backoff, for which this VM must
+//! not send it requests. The [`crate::roster`] records the first, and [`crate::quota`] enforces the limit over all VMs;
+//! this module holds one VM's knowledge of limits and backoffs (`docs/design/backpressure.md`). The endpoint's entry on
+//! the list adds that it is cold, and for how long. While it is cold, a rate from the configuration applies.
 //!
 //! ```
 //! use limehollow::backpressure::{Backpressure, RateSignal, Signals};
@@ -28,58 +28,58 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest rest that is granted at a word. An endpoint that wants more says so again at the request that comes then.
+/// The longest backoff that one answer can set. An endpoint that needs more asks again at the next request.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(3600);
-/// The lowest rate at which an endpoint is asked, in requests a second: with none at all nobody would hear that its limit has
+/// The lowest effective rate limit, in requests a second. Without any requests, no answer could show that the limit has
 /// ended.
 pub const LEAST_RATE: f64 = 0.1;
-/// From which rate on a limit binds nobody, in requests a second: many times what a whole site is asked.
-const UNLIMITED_FROM: f64 = 1e6;
-/// When to look again at an endpoint whose rest is over and of which the first answer is awaited.
-const TRIAL_AGAIN: Duration = Duration::from_millis(100);
+/// The rate from which on a limit is ignored, in requests a second: many times the load of a whole site.
+const UNLIMITED_RATE: f64 = 1e6;
+/// The time after which to check again an endpoint whose backoff is over while a trial request is in flight.
+const TRIAL_RECHECK: Duration = Duration::from_millis(100);
 
-/// What an answer says of the endpoint's rate.
+/// The rate limit in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateSignal {
-    /// It names no limit.
+    /// The answer states no limit.
     #[default]
     Unnamed,
-    /// It takes so many requests a second of all VMs together.
+    /// The endpoint accepts this many requests a second from all VMs together.
     Named(f64),
-    /// It names a limit that can't be read, which neither sets a limit nor ends one.
+    /// The answer states a limit that can't be parsed; it neither sets nor ends a limit.
     Unreadable,
 }
 
-/// What one answer says of what the endpoint wants.
+/// The signals in one answer of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Whether it leaves: this start wants no more requests.
+    /// Whether the endpoint leaves: this start accepts no more requests.
     pub leaving: bool,
-    /// How many requests it takes.
+    /// The rate limit.
     pub rate: RateSignal,
-    /// For how long it wants nothing of this VM.
+    /// The time for which this VM must not send requests.
     pub backoff: Option<Duration>,
-    /// For how long it is cold.
+    /// The remaining time for which the endpoint is cold.
     pub cold: Option<Duration>,
 }
 
-/// The rate that an endpoint named in one answer, and when it did.
+/// The rate limit that an endpoint stated in one answer, and the time range in which the answer was written.
 ///
-/// Answers come on several connections, so the one that is heard last need not be the one that was written last. It was
-/// written between the sending of its request and its hearing.
+/// Answers arrive on several connections, so the last one received need not be the last one written. An answer was
+/// written between the sending of its request and its receipt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateObservation {
-    /// Requests a second of all VMs together; none if it named no limit.
+    /// The limit in requests a second over all VMs together; `None` if the answer stated no limit.
     pub rate: Option<f64>,
     /// When the request was sent.
     pub sent_at: Instant,
-    /// When the answer was heard.
+    /// When the answer was received.
     pub received_at: Instant,
 }
 
 impl RateObservation {
-    /// Gives which of two words of an endpoint counts: the one that was certainly written later, and the stricter one where
-    /// that can't be told.
+    /// Returns which of two observations is in force: the one that was certainly written later, or the stricter one if
+    /// their order is unknown.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         if other.sent_at >= self.received_at {
@@ -97,61 +97,62 @@
     }
 }
 
-/// What a word changed of an endpoint's limit.
+/// A change of an endpoint's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateChange {
-    /// Nothing.
+    /// The limit is unchanged.
     #[default]
     Unchanged,
-    /// From now on it takes so many requests a second.
+    /// From now on the endpoint accepts this many requests a second.
     Limited(f64),
-    /// It has no limit any more.
+    /// The limit has ended.
     Ended,
 }
 
-/// What is new after an answer.
+/// The changes that an answer caused.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SignalChange {
-    /// What changed of its limit.
+    /// The change of the limit.
     pub rate: RateChange,
-    /// The rest that was asked for.
+    /// The backoff that the answer asked for.
     pub backoff: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: Instant,
-    /// Whether a request is under way that shows whether the endpoint takes requests again.
+    /// Whether a trial request is in flight, which shows whether the endpoint accepts requests again.
     trial: bool,
 }
 
-/// How many requests an endpoint takes of all VMs together.
+/// The rate limit of an endpoint over all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointLimit {
     /// Requests a second.
     pub rate: f64,
-    /// Whether it is cold: more than its rate is borne for a second only.
+    /// Whether it is cold: it tolerates more than its rate for only a second.
     pub is_cold: bool,
 }
 
-/// A time in which an endpoint is slow and falls over under its usual load.
+/// A period in which an endpoint is slow and would fail under its usual load.
 #[derive(Clone, Copy, Debug)]
 struct Cold {
     until: Instant,
-    /// What it bears meanwhile, in requests a second of all VMs together.
+    /// The limit meanwhile, in requests a second over all VMs together.
     rate: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Row {
-    word: Option<RateObservation>,
-    /// When the other VMs had to be told anew: the word changed, or one of them still had a limit that has ended.
-    is_news_since: Option<Instant>,
+    observation: Option<RateObservation>,
+    /// When the observation last had to be sent to other VMs: it changed, or one of them still had a limit that has
+    /// ended.
+    changed_at: Option<Instant>,
     backoff: Option<Backoff>,
     cold: Option<Cold>,
 }
 
-/// What one VM has heard of endpoints' wishes.
+/// One VM's knowledge of the limits, backoffs and cold periods of endpoints.
 #[derive(Debug, Default)]
 pub struct Backpressure {
     rows: SecondaryMap<EndpointKey, Row>,
@@ -159,19 +160,19 @@
 
 /// Queries.
 impl Backpressure {
-    /// Gives the requests a second that an endpoint takes of all VMs together, where it names a limit or is cold.
+    /// Returns the rate limit of an endpoint in requests a second over all VMs, if it stated one or is cold.
     #[must_use]
     pub fn rate(&self, key: EndpointKey) -> Option<f64> {
         self.limit(key).map(|l| l.rate)
     }
 
-    /// Gives what an endpoint takes of all VMs together, where it names a limit or is cold.
+    /// Returns the limit of an endpoint over all VMs, if it stated one or is cold.
     #[must_use]
     pub fn limit(&self, key: EndpointKey) -> Option<EndpointLimit> {
         let row = self.rows.get(key)?;
-        let named = row.word.and_then(|w| w.rate);
+        let stated_rate = row.observation.and_then(|w| w.rate);
         let cold = row.cold.map(|c| c.rate);
-        let rate = match (named, cold) {
+        let rate = match (stated_rate, cold) {
             (Some(a), Some(b)) => a.min(b),
             (a, b) => a.or(b)?,
         };
@@ -181,71 +182,71 @@
         })
     }
 
-    /// Tells whether an endpoint is cold.
+    /// Returns `true` if an endpoint is cold.
     #[must_use]
     pub fn is_cold(&self, key: EndpointKey) -> bool {
         self.rows.get(key).is_some_and(|r| r.cold.is_some())
     }
 
-    /// Gives the endpoints that are cold.
+    /// Returns the cold endpoints.
     pub fn cold(&self) -> impl Iterator<Item = EndpointKey> {
         let rows = self.rows.iter();
         rows.filter(|(_, r)| r.cold.is_some()).map(|(k, _)| k)
     }
 
-    /// Gives the rate that an endpoint named itself.
-    fn named(&self, key: EndpointKey) -> Option<f64> {
-        self.rows.get(key)?.word?.rate
+    /// Returns the rate limit that an endpoint stated itself.
+    fn stated_rate(&self, key: EndpointKey) -> Option<f64> {
+        self.rows.get(key)?.observation?.rate
     }
 
-    /// Gives in how long an endpoint that rests takes a request of this VM; none if it does now.
+    /// Returns the time until an endpoint in backoff accepts a request of this VM, or `None` if it does now.
     #[must_use]
     pub fn opens_in(&self, now: Instant, key: EndpointKey) -> Option<Duration> {
         let backoff = self.rows.get(key)?.backoff?;
         let left = backoff.until.saturating_duration_since(now);
         match (left.is_zero(), backoff.trial) {
             (false, _) => Some(left),
-            (true, true) => Some(TRIAL_AGAIN),
+            (true, true) => Some(TRIAL_RECHECK),
             (true, false) => None,
         }
     }
 
-    /// Tells whether an endpoint wants nothing of this VM now, not even a request that shows whether its rest is over.
+    /// Returns `true` if an endpoint's backoff isn't over, so that not even a trial request may be sent.
     #[must_use]
     pub fn is_backing_off(&self, now: Instant, key: EndpointKey) -> bool {
         let backoff = self.rows.get(key).and_then(|r| r.backoff);
         backoff.is_some_and(|r| now < r.until)
     }
 
-    /// Gives the endpoints to which no request of this VM may be sent now.
+    /// Returns the endpoints to which this VM may not send requests now.
     pub fn closed(&self, now: Instant) -> impl Iterator<Item = EndpointKey> {
         let keys = self.rows.keys();
         keys.filter(move |k| self.opens_in(now, *k).is_some())
     }
 
-    /// Gives the words that the other VMs have to be told of, which is so for some time after a change.
+    /// Returns the observations that have to be sent to other VMs: those that changed less than `send_for` ago.
     pub fn recent_changes(
         &self,
         now: Instant,
-        told_for: Duration,
+        send_for: Duration,
     ) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
-        let recent = move |t: Instant| now.saturating_duration_since(t) < told_for;
+        let recent = move |t: Instant| now.saturating_duration_since(t) < send_for;
         let rows = self.rows.iter();
-        let rows = rows.filter(move |(_, r)| r.is_news_since.is_some_and(recent));
-        rows.filter_map(|(k, r)| Some((k, r.word?)))
+        let rows = rows.filter(move |(_, r)| r.changed_at.is_some_and(recent));
+        rows.filter_map(|(k, r)| Some((k, r.observation?)))
     }
 
-    /// Gives the words of all limits that stand. A VM that started again hears of them by these.
+    /// Returns the observations of all limits in force, from which a restarted VM learns them.
     pub fn active_limits(&self) -> impl Iterator<Item = (EndpointKey, RateObservation)> {
         let rows = self.rows.iter();
-        let words = rows.filter_map(|(k, r)| Some((k, r.word?)));
+        let words = rows.filter_map(|(k, r)| Some((k, r.observation?)));
         words.filter(|(_, w)| w.rate.is_some())
     }
 }
 
 /// Commands.
 impl Backpressure {
-    /// Takes in what an answer says to a request that was sent at `sent_at`.
+    /// Applies the signals in the answer to a request that was sent at `sent_at`.
     pub fn observe(
         &mut self,
         now: Instant,
@@ -264,43 +265,50 @@
             RateSignal::Unreadable => RateChange::Unchanged,
             RateSignal::Unnamed => self.end_limit(now, key, sent_at),
             RateSignal::Named(rate) => {
-                let rate = (rate < UNLIMITED_FROM).then_some(rate.max(LEAST_RATE));
-                let word = RateObservation {
+                let rate = (rate < UNLIMITED_RATE).then_some(rate.max(LEAST_RATE));
+                let observation = RateObservation {
                     rate,
                     sent_at,
                     received_at: now,
                 };
-                self.merge(now, key, word)
+                self.merge(now, key, observation)
             }
         };
         SignalChange { rate, backoff }
     }
 
-    /// Takes in an answer without a limit, which is of matter only where one was heard.
+    /// Applies an answer without a limit, which matters only if a limit is in force.
     fn end_limit(&mut self, now: Instant, key: EndpointKey, sent_at: Instant) -> RateChange {
-        if self.named(key).is_none() {
+        if self.stated_rate(key).is_none() {
             return RateChange::Unchanged;
         }
-        let word = RateObservation {
+        let observation = RateObservation {
             rate: None,
             sent_at,
             received_at: now,
         };
-        self.merge(now, key, word)
+        self.merge(now, key, observation)
     }
 
-    /// Takes in a word of an endpoint, heard here or by another VM. Gives what changed.
-    pub fn merge(&mut self, now: Instant, key: EndpointKey, word: RateObservation) -> RateChange {
+    /// Merges an observation of this VM or of another one. Returns the change of the limit.
+    pub fn merge(
+        &mut self,
+        now: Instant,
+        key: EndpointKey,
+        observation: RateObservation,
+    ) -> RateChange {
         let Some(row) = self.rows.entry(key) else {
             return RateChange::Unchanged;
         };
         let row = row.or_default();
-        let before = row.word.and_then(|w| w.rate);
-        let joined = row.word.map_or(word, |w| w.merge(word));
-        if joined.rate != before || joined.rate.is_none() && word.rate.is_some() {
-            row.is_news_since = Some(now);
+        let before = row.observation.and_then(|w| w.rate);
+        let joined = row
+            .observation
+            .map_or(observation, |w| w.merge(observation));
+        if joined.rate != before || joined.rate.is_none() && observation.rate.is_some() {
+            row.changed_at = Some(now);
         }
-        row.word = Some(joined);
+        row.observation = Some(joined);
         match joined.rate {
             rate if rate == before => RateChange::Unchanged,
             Some(rate) => RateChange::Limited(rate),
@@ -308,10 +316,10 @@
         }
     }
 
-    /// Takes in that an endpoint is cold until then and bears so many requests a second meanwhile.
+    /// Marks an endpoint as cold until `until`, with a limit of `rate` requests a second meanwhile.
     ///
-    /// What is told late names a later end. It is believed: an endpoint that is taken for cold for too long is only left alone
-    /// while others have room, one that is taken for warm too early falls over.
+    /// An entry that arrives late leads to a later end, and the latest end is in force. An endpoint that counts as cold
+    /// for too long is only avoided while others have capacity; one that counts as warm too early fails.
     pub fn mark_cold(&mut self, key: EndpointKey, until: Instant, rate: f64) {
         let Some(row) = self.rows.entry(key) else {
             return;
@@ -321,7 +329,7 @@
         row.cold = Some(Cold { until, rate });
     }
 
-    /// Ends the cold times that are over. Gives the endpoints that are warm from now on.
+    /// Ends the cold periods that are over. Returns the endpoints that have become warm.
     pub fn end_cold_periods(&mut self, now: Instant) -> Vec<EndpointKey> {
         let is_over = |r: &Row| r.cold.is_some_and(|c| now >= c.until);
         let rows = self.rows.iter_mut().filter(|(_, r)| is_over(r));
@@ -332,7 +340,7 @@
         warm.collect()
     }
 
-    /// A rest that was asked for in an answer that comes late counts as well: each of them was meant.
+    /// Sets or extends a backoff. A backoff in a late answer is in force as well.
     fn backoff(&mut self, until: Instant, key: EndpointKey) {
         let Some(row) = self.rows.entry(key) else {
             return;
@@ -345,7 +353,7 @@
         backoff.until = backoff.until.max(until);
     }
 
-    /// Notes that a request is sent to an endpoint. Gives whether it shows if a rest is over.
+    /// Records that a request is sent to an endpoint. Returns `true` if it is the trial request after a backoff.
     pub(crate) fn start(&mut self, now: Instant, key: EndpointKey) -> bool {
         let backoff = self.rows.get_mut(key).and_then(|r| r.backoff.as_mut());
         let Some(backoff) = backoff.filter(|r| now >= r.until && !r.trial) else {
@@ -355,10 +363,10 @@
         true
     }
 
-    /// Notes that an endpoint whose rest was over has answered a request, or that the request came to nothing.
+    /// Ends a trial request; `answered` is whether the endpoint answered it.
     ///
-    /// One request at a time is sent until one is answered: all VMs whose rest ends at the same moment would else send at once
-    /// what had gathered meanwhile.
+    /// After a backoff one request at a time is sent until one is answered. Otherwise all VMs whose backoffs end at the
+    /// same time would send their queued requests at once.
     pub(crate) fn end_trial(&mut self, now: Instant, key: EndpointKey, answered: bool) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
