--- a/crates/limehollow/src/workspace.rs
+++ b/crates/limehollow/src/workspace.rs
@@ -1,7 +1,7 @@
-//! Who a caller is: workspaces, their keys, and what each may use.
+//! Workspaces: the customers that callers belong to, with their keys and limits.
 //!
-//! A key is known here by its digest only. So no copy of a configuration, message or dump holds one, and how long a
-//! comparison takes says nothing about a key: to steer it, a caller would have to choose digests
+//! Only the digest of a key is stored, so no copy of a configuration, message or dump contains a key. The time that a
+//! comparison takes reveals nothing about a key either: to exploit it, a caller would have to choose digests
 //! (`docs/design/workspaces.md`).
 //!
 //! ```
@@ -28,10 +28,11 @@
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 
-/// The bytes of a digest, and of its part by which keys are looked up.
+/// The length of a digest in bytes.
 const LEN: usize = 32;
+/// The length of the prefix of a digest by which keys are looked up, in bytes.
 const PREFIX: usize = 8;
-/// The bytes of a digest that operators see: enough to tell keys apart, too few to look for one by trial.
+/// The number of bytes of a digest that are displayed: enough to tell keys apart, too few to find a key by trial.
 const SHOWN: usize = 4;
 
 /// The digest of a key.
@@ -40,7 +41,7 @@
 pub struct KeyDigest([u8; LEN]);
 
 impl KeyDigest {
-    /// Takes the digest of a key.
+    /// Returns the digest of a key.
     #[must_use]
     pub fn of(key: &str) -> Self {
         Self(*blake3::hash(key.as_bytes()).as_bytes())
@@ -53,7 +54,7 @@
     }
 }
 
-/// The library compares digests in constant time.
+/// Compares digests in constant time, as [`blake3::Hash`] does.
 impl PartialEq for KeyDigest {
     fn eq(&self, other: &Self) -> bool {
         blake3::Hash::from(self.0) == blake3::Hash::from(other.0)
@@ -62,7 +63,7 @@
 
 impl Eq for KeyDigest {}
 
-/// Shows the beginning of the digest only.
+/// Writes only the first bytes of the digest.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..SHOWN]
@@ -77,21 +78,21 @@
     }
 }
 
-/// What a request counts against its workspace's limit.
+/// The cost of a request, which counts against its workspace's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cost {
-    /// Each request counts one.
+    /// Each request costs one.
     #[default]
     Request,
-    /// A request counts the tokens that it says of itself.
+    /// A request costs the number of tokens that it states.
     Tokens {
-        /// What a request counts that says none.
+        /// The cost of a request that states no tokens.
         plain: u32,
     },
 }
 
 impl Cost {
-    /// Gives what a request counts that says so many tokens of itself.
+    /// Returns the cost of a request that states this number of tokens.
     #[must_use]
     pub fn of(self, tokens: Option<u64>) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "a request has few tokens")]
@@ -105,33 +106,33 @@
 /// One workspace: callers who share keys and a limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name, which endpoints are told.
+    /// Its name, which is sent to endpoints.
     pub name: SmolStr,
     /// The keys of its callers.
     pub keys: Vec<KeyDigest>,
-    /// The rank of its requests, which goes before that of the rule; 0 is the most urgent.
+    /// The rank of its requests, which takes precedence over the rule's rank; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// What its requests may use over all VMs together; none where it is not limited.
+    /// The limit of its requests over all VMs together; `None` if it is unlimited.
     pub limit: Option<Limit>,
-    /// What a request counts against it.
+    /// The cost of a request against the limit.
     pub cost: Cost,
-    /// The regions in which its requests may run; any where none is named.
+    /// The regions in which its requests may run; any region if empty.
     pub homes: Vec<RegionName>,
 }
 
-/// Why workspaces can't be put in force.
+/// An error in a configuration's workspaces.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum WorkspacesError {
     /// A workspace has no name.
     #[snafu(display("a workspace has no name"))]
     Nameless,
-    /// Two workspaces have one name.
-    #[snafu(display("workspace {name} is there twice"))]
+    /// Two workspaces have the same name.
+    #[snafu(display("workspace {name} is defined twice"))]
     NameTwice {
         /// The name.
         name: SmolStr,
     },
-    /// Two workspaces have one key.
+    /// Two workspaces have the same key.
     #[snafu(display("workspaces {one} and {other} have the same key"))]
     KeyTwice {
         /// The first workspace.
@@ -146,16 +147,16 @@
 #[serde(try_from = "Vec<Workspace>", into = "Vec<Workspace>")]
 pub struct Workspaces {
     all: Vec<Workspace>,
-    /// The places in `all` of the workspaces with a key whose digest begins so.
+    /// The indices in `all` of the workspaces that have a key whose digest has this prefix.
     by_prefix: HashMap<[u8; PREFIX], Vec<usize>>,
 }
 
 impl Workspaces {
-    /// Makes the workspaces of a configuration.
+    /// Creates the workspaces of a configuration.
     ///
     /// # Errors
     ///
-    /// [`WorkspacesError`] if a name is missing, or a name or a key is there twice.
+    /// Returns [`WorkspacesError`] if a name is empty, or if two workspaces share a name or a key.
     pub fn new(all: Vec<Workspace>) -> Result<Self, WorkspacesError> {
         let mut names = BTreeSet::new();
         let mut by_prefix: HashMap<[u8; PREFIX], Vec<usize>> = HashMap::new();
@@ -168,40 +169,40 @@
                 return NameTwiceSnafu { name: name.clone() }.fail();
             }
             for key in &w.keys {
-                let places = by_prefix.entry(key.prefix()).or_default();
-                let mut others = places.iter().filter(|p| **p != i);
+                let indices = by_prefix.entry(key.prefix()).or_default();
+                let mut others = indices.iter().filter(|p| **p != i);
                 if let Some(p) = others.find(|p| all[**p].keys.contains(key)) {
                     let one = all[*p].name.clone();
                     let other = name.clone();
                     return KeyTwiceSnafu { one, other }.fail();
                 }
-                places.push(i);
+                indices.push(i);
             }
         }
         Ok(Self { all, by_prefix })
     }
 
-    /// Gives the workspace that has a key.
+    /// Returns the workspace that has a key.
     #[must_use]
     pub fn find(&self, key: &KeyDigest) -> Option<&Workspace> {
-        let places = self.by_prefix.get(&key.prefix())?;
-        let mut found = places.iter().map(|p| &self.all[*p]);
+        let indices = self.by_prefix.get(&key.prefix())?;
+        let mut found = indices.iter().map(|p| &self.all[*p]);
         found.find(|w| w.keys.contains(key))
     }
 
-    /// Gives the workspace of a name.
+    /// Returns the workspace with this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Workspace> {
         self.all.iter().find(|w| w.name == name)
     }
 
-    /// Gives all workspaces.
+    /// Returns all workspaces.
     #[must_use]
     pub fn all(&self) -> &[Workspace] {
         &self.all
     }
 
-    /// Tells whether there are none: then no request needs a key.
+    /// Returns `true` if there are no workspaces; requests then need no key.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
