--- a/crates/limehollow/src/quota.rs
+++ b/crates/limehollow/src/quota.rs
@@ -1,15 +1,16 @@
-//! How much is left of the limits of workspaces and of endpoints, with a sum over all VMs that holds whatever happens to them.
+//! Distributed rate limits of workspaces and endpoints, whose sum over all VMs holds despite failures.
 //!
-//! Nobody has to be in charge for the sum to hold. Each VM earns the same part of each limit, into an account of its own, and
-//! a token is always in one place: who hands tokens over takes them out of its account before they leave, and what is lost on
-//! the way is lost. The VM that keeps a workspace's pool collects what the others have earned, several times a second, and
-//! grants from it, so that a workspace whose part on each VM is less than a request is served up to its limit, and one whose
-//! callers all come to one VM too. Who is cut off has what it earns itself. Where two VMs take themselves for the keeper, each
-//! VM hands over to one of them only, and a pool holds no more than the part of those who fill it.
+//! The sum holds without a leader. Each VM earns an equal share of each limit into an account of its own, and a token
+//! is always in one place: a VM that transfers tokens takes them out of its account before they leave, and tokens lost
+//! in transit are lost. The coordinator of a limit collects the earnings of the other VMs into a pool, several times a
+//! second, and grants tokens from it. A workspace whose share on each VM is less than a request is thus served up to
+//! its limit, and so is a workspace whose callers all use one VM. A VM that is cut off has only its own earnings. If
+//! two VMs consider themselves coordinator, each VM transfers to only one of them, and a pool holds no more than the
+//! share of the VMs that fill it.
 //!
-//! Workspaces have limits by the operators' configuration, endpoints by what they say in their answers.
+//! The limits of workspaces come from the operators' configuration, those of endpoints from their answers.
 //!
-//! [`Allowance::terms`] has the worst case of the sum, `docs/design/workspaces.md` the other designs and their figures.
+//! [`Allowance::terms`] states the worst case of the sum; `docs/design/workspaces.md` has the figures of other designs.
 //!
 //! ```
 //! use limehollow::quota::{Allowance, Limit, Quotas};
@@ -26,7 +27,7 @@
 //! }
 //! let later = now + Duration::from_secs(1);
 //! assert!(!mine.acquire(later, "bookkeeping", 600.0));
-//! // Another VM hands over what it has earned.
+//! // Another VM transfers its earnings.
 //! mine.begin_round(later);
 //! let more = theirs.transfer(later, "bookkeeping", &"vm-1".into()).unwrap();
 //! mine.credit(later, "bookkeeping", more);
@@ -39,42 +40,44 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long tokens may be on their way, from one account to the next and until a request is sent: an answer to a
-/// collection that takes longer is thrown away, and what didn't run is given back only within it.
+/// The maximum time that tokens may be in transit, from one account to another and until a request is sent. An answer
+/// to a collection that takes longer is discarded, and tokens of a request that didn't run are refunded only within it.
 pub const MAX_TRANSFER_TIME: Duration = Duration::from_millis(250);
-/// The time between two collections. Half a second of what VMs earn lies with them unused then if a collection is lost.
+/// The time between two collections. If one is lost, half a second of the VMs' earnings stays unused with them.
 pub const COLLECT_EVERY: Duration = Duration::from_millis(250);
-/// For how long VMs keep what they earn: three collections, so that two may be lost. While nobody collects, a VM of a
-/// workspace with two requests a VM and second gathers one request's worth in that time.
-const OWN_FOR: f64 = 0.75;
-/// The part of what the rules allow beyond the limit that may lie in accounts, beside the burst: the rest is for tokens on
-/// their way and for VMs that count each other differently.
+/// The time for which VMs accumulate earnings, in seconds: three collections, so that two may be lost. Without
+/// collections, a VM earns one request's worth in that time for a workspace with two requests a second on each VM.
+const OWN_EARNINGS_S: f64 = 0.75;
+/// The fraction of the allowance beyond the limit that accounts may hold, beside the burst. The rest is for tokens in
+/// transit and for VMs that disagree on the number of VMs.
 const STORED_SHARE: f64 = 0.4;
-/// The same for endpoints, whose limits have no burst: a pool has to hold what two collections bring and a request's part.
+/// The same for endpoints, whose limits have no burst: a pool has to hold the tokens of two collections and a part of a
+/// request.
 const ENDPOINT_STORED_SHARE: f64 = 0.6;
-/// By how much the parts of all VMs may add up to more than the whole, while some know of a new VM and others don't.
-const UNEVEN: f64 = 0.02;
-/// For how long a VM that has handed over to one keeper gives nothing to another: longer than a pool lasts that is no
-/// longer filled.
-const ONE_KEEPER_FOR: Duration = Duration::from_millis(1000);
-/// After how long without a round of collections a pool is void: its keeper stood still, and another has taken over.
-const POOL_LASTS: Duration = Duration::from_millis(750);
-/// The longest time that a refused caller is asked to stay away.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// The shortest one: less is gone on the way.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
-
-/// Whose limit it is.
+/// The fraction by which the shares of all VMs may exceed the whole, while only some of them know of a new VM.
+const SHARE_EXCESS: f64 = 0.02;
+/// The time for which a VM that has transferred tokens to one coordinator transfers none to another: longer than the
+/// lifetime of a pool that is no longer filled.
+const COORDINATOR_SWITCH_AFTER: Duration = Duration::from_millis(1000);
+/// The time without a round of collections after which a pool is void: its coordinator stood still, and another VM has
+/// taken over.
+const POOL_LIFETIME: Duration = Duration::from_millis(750);
+/// The longest wait that a rejected caller is asked for.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+/// The shortest wait: a shorter one would pass in transit.
+const MIN_WAIT: Duration = Duration::from_millis(100);
+
+/// The subject of a limit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
-    /// The workspace of this name: what its callers may use.
+    /// The workspace with this name; the limit is on the requests of its callers.
     Workspace(SmolStr),
-    /// The endpoint with this id: what it takes of all VMs, in requests.
+    /// The endpoint with this id; the limit is on the requests of all VMs to it.
     Endpoint(SmolStr),
 }
 
 impl Subject {
-    /// Gives the name by which VMs agree on who keeps its pool.
+    /// Returns the name by which VMs agree on the coordinator.
     #[must_use]
     pub fn name(&self) -> &SmolStr {
         match self {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Gives what its limit comes to, where workspaces and endpoints may be used so far beyond theirs.
+    /// Returns the terms of its limit, given the allowances of workspaces and endpoints.
     fn terms(&self, limit: Limit, workspaces: Allowance, endpoints: Allowance) -> Terms {
         match self {
             Self::Workspace(_) => workspaces.terms(limit),
@@ -116,35 +119,35 @@
     }
 }
 
-/// What a limit allows.
+/// A rate limit with a burst.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
     /// Tokens, or requests, a second.
     pub rate: f64,
-    /// What may be used on top at once.
+    /// The tokens that may be used on top of the rate at once.
     pub burst: f64,
 }
 
-/// How far all VMs together may go beyond a limit, which is what keeps the work of agreeing small.
+/// The overuse of a limit that is allowed to all VMs together. It reduces the coordination that VMs need.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     /// The span over which use is summed.
     pub window: Duration,
-    /// The part of the limit that may be used beyond it.
+    /// The fraction of the limit that may be used beyond it.
     pub over: f64,
-    /// Tokens that may be used on top.
+    /// The absolute number of tokens that may be used beyond it.
     pub slack: f64,
 }
 
-/// How far all VMs may go beyond the limit that an endpoint names: it bears one and a half times as much, and five requests, in
-/// four seconds.
+/// The allowance beyond the limit that an endpoint states: within four seconds it tolerates one and a half times as
+/// much and five requests.
 const ENDPOINTS: Allowance = Allowance {
     window: Duration::from_secs(4),
     over: 0.5,
     slack: 5.0,
 };
 
-/// How far all VMs may go beyond what a cold endpoint bears: it falls over within a second.
+/// The allowance beyond the rate of a cold endpoint, which fails within a second.
 const COLD_ENDPOINTS: Allowance = Allowance {
     window: Duration::from_secs(1),
     over: 0.5,
@@ -162,33 +165,34 @@
     }
 }
 
-/// What a limit comes to for accounts.
+/// The bounds on accounts that follow from a limit and its allowance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// What all VMs together earn, in tokens a second.
+    /// The earnings of all VMs together, in tokens a second.
     pub rate: f64,
-    /// What all VMs together may keep of what they earn themselves.
+    /// The maximum of unused own earnings, over all VMs together.
     pub own: f64,
-    /// What may be in a pool.
+    /// The maximum of a pool.
     pub pool: f64,
 }
 
 impl Allowance {
-    /// Gives the most that all VMs together may use of a limit within the window.
+    /// Returns the maximum use of a limit by all VMs together within the window.
     #[must_use]
     pub fn bound(&self, limit: Limit) -> f64 {
         self.nominal(limit) * (1.0 + self.over) + self.slack
     }
 
+    /// Returns the use within the window without overuse.
     fn nominal(&self, limit: Limit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 
-    /// Gives the terms for accounts under which the bound holds.
+    /// Returns the terms for accounts under which the bound holds.
     ///
-    /// What is used within a window was in an account at its beginning, on its way then, or was earned in it. Tokens on
-    /// their way were in an account so short a time before. So the sum is at most what accounts hold, and what is earned in
-    /// the window and [`MAX_TRANSFER_TIME`] twice (to the pool, and from it).
+    /// Tokens used within a window were in an account at its beginning, were in transit then, or were earned within it.
+    /// Tokens in transit were in an account at most [`MAX_TRANSFER_TIME`] before. The sum is therefore at most what
+    /// accounts hold, plus what is earned in the window and in twice that time (to the pool, and from it).
     #[must_use]
     pub fn terms(&self, limit: Limit) -> Terms {
         self.terms_storing(limit, STORED_SHARE)
@@ -197,12 +201,12 @@
     fn terms_storing(&self, limit: Limit, share: f64) -> Terms {
         let beyond = self.nominal(limit) * self.over + self.slack;
         let stored = limit.burst + beyond * share;
-        let earning = (self.window + MAX_TRANSFER_TIME * 2).as_secs_f64() * (1.0 + UNEVEN);
+        let earning = (self.window + MAX_TRANSFER_TIME * 2).as_secs_f64() * (1.0 + SHARE_EXCESS);
         let rate = limit
             .rate
             .min((self.bound(limit) - stored) / earning)
             .max(0.0);
-        let own = (rate * OWN_FOR).min(stored);
+        let own = (rate * OWN_EARNINGS_S).min(stored);
         Terms {
             rate,
             own,
@@ -211,26 +215,27 @@
     }
 }
 
-/// What one VM has of a workspace's limit.
+/// One VM's tokens of one limit.
 #[derive(Clone, Debug)]
 struct Account {
     limit: Limit,
     terms: Terms,
-    /// What this VM has earned and not used.
+    /// The tokens that this VM earned and hasn't used.
     own: f64,
-    /// What it has collected.
+    /// The tokens that this VM collected from others.
     pool: f64,
-    /// The VMs that handed over in the last round of collections, and in this one.
-    lenders: usize,
-    counted: usize,
+    /// The number of VMs that transferred tokens in the last round of collections.
+    contributors: usize,
+    /// The number of VMs that transferred tokens in this round.
+    contributing: usize,
     /// When this round began.
     round: Instant,
-    /// To whom this VM handed over last, and when.
-    keeper: Option<(SmolStr, Instant)>,
+    /// The coordinator to which this VM transferred tokens last, and when.
+    coordinator: Option<(SmolStr, Instant)>,
     /// When it last earned.
     at: Instant,
-    /// What callers who were refused were told to come back for.
-    promised: f64,
+    /// The tokens for which rejected callers were asked to come back.
+    promised_tokens: f64,
 }
 
 impl Account {
@@ -240,36 +245,37 @@
             terms,
             own: 0.0,
             pool: 0.0,
-            lenders: 0,
-            counted: 0,
+            contributors: 0,
+            contributing: 0,
             round: now,
-            keeper: None,
+            coordinator: None,
             at: now,
-            promised: 0.0,
+            promised_tokens: 0.0,
         }
     }
 
+    /// Adds the earnings since the last call, and applies the bounds of the account.
     fn earn(&mut self, now: Instant, vms: usize) {
         let s = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = self.at.max(now);
-        self.promised = (self.promised - s * self.terms.rate).max(0.0);
+        self.promised_tokens = (self.promised_tokens - s * self.terms.rate).max(0.0);
         if vms > 0 {
             let part = share(vms);
             self.own = (self.own + s * self.terms.rate * part).min(self.terms.own * part);
         }
-        if now.saturating_duration_since(self.round) > POOL_LASTS {
+        if now.saturating_duration_since(self.round) > POOL_LIFETIME {
             self.pool = 0.0;
         }
-        self.pool = self.pool.min(self.pool_room(vms));
+        self.pool = self.pool.min(self.max_pool(vms));
     }
 
-    /// Gives what the pool may hold: the part of the VMs that fill it.
-    fn pool_room(&self, vms: usize) -> f64 {
-        let lenders = self.lenders.max(self.counted).min(vms);
-        if lenders == 0 {
+    /// Returns the maximum of the pool: the share of the VMs that fill it.
+    fn max_pool(&self, vms: usize) -> f64 {
+        let contributors = self.contributors.max(self.contributing).min(vms);
+        if contributors == 0 {
             return 0.0;
         }
-        self.terms.pool * (share(vms) / share(lenders))
+        self.terms.pool * (share(vms) / share(contributors))
     }
 
     fn left(&self) -> f64 {
@@ -283,35 +289,36 @@
     }
 }
 
+/// Returns the share of each VM in a limit.
 #[expect(clippy::cast_precision_loss, reason = "a site has few VMs")]
 fn share(vms: usize) -> f64 {
     1.0 / vms as f64
 }
 
-/// What became of a wish for tokens.
+/// The answer to a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Grant {
     /// The tokens were taken out of the account.
     Granted,
-    /// There are too few; when there are enough, by what is known now.
+    /// There are too few tokens; there are expected to be enough after this time.
     Short(Duration),
 }
 
-/// What one VM has of all limits.
+/// One VM's accounts of all limits.
 #[derive(Debug)]
 pub struct Quotas {
     allowance: Allowance,
-    /// How far all VMs may go beyond what a cold endpoint bears.
+    /// The allowance beyond the rate of a cold endpoint.
     cold: Allowance,
-    /// How many VMs share the limits; zero while that isn't known, and then nothing is earned.
+    /// The number of VMs that share the limits; zero while it is unknown, and then nothing is earned.
     vms: usize,
     accounts: BTreeMap<Subject, Account>,
 }
 
 /// Queries.
 impl Quotas {
-    /// Makes the accounts of a VM that knows no limit yet. It begins with nothing: what it had before a restart may have
-    /// been used.
+    /// Creates the accounts of a VM that knows no limits yet. Accounts start empty, since the tokens from before a
+    /// restart may have been used.
     #[must_use]
     pub fn new(allowance: Allowance) -> Self {
         Self {
@@ -322,24 +329,24 @@
         }
     }
 
-    /// Tells whether something has a limit here.
+    /// Returns `true` if a subject has a limit.
     #[must_use]
     pub fn is_limited(&self, subject: &Subject) -> bool {
         self.accounts.contains_key(subject)
     }
 
-    /// Gives what has a limit.
+    /// Returns the subjects that have a limit.
     pub fn subjects(&self) -> impl Iterator<Item = &Subject> {
         self.accounts.keys()
     }
 
-    /// Gives how many VMs share the limits, as far as is known.
+    /// Returns the number of VMs that share the limits, or 0 if it is unknown.
     #[must_use]
     pub fn vms(&self) -> usize {
         self.vms
     }
 
-    /// Gives for each limit what this VM has earned itself and what it has collected, in tokens.
+    /// Returns for each limit the tokens that this VM earned itself and those that it collected.
     pub fn holdings(&self) -> impl Iterator<Item = (&Subject, f64, f64)> {
         self.accounts.iter().map(|(s, a)| (s, a.own, a.pool))
     }
@@ -347,7 +354,7 @@
 
 /// Commands.
 impl Quotas {
-    /// Changes how far all VMs may go beyond the limits.
+    /// Sets the allowance beyond the limits of workspaces.
     pub fn set_allowance(&mut self, now: Instant, allowance: Allowance) {
         if allowance == self.allowance {
             return;
@@ -361,7 +368,7 @@
         self.set_limits(now, limits);
     }
 
-    /// Puts the limits of all workspaces in force: a lower one takes away at once what is too much.
+    /// Sets the limits of all workspaces. Tokens beyond a lowered limit are removed at once.
     pub fn set_limits<I>(&mut self, now: Instant, limits: I)
     where
         I: IntoIterator<Item = (SmolStr, Limit)>,
@@ -375,29 +382,29 @@
         }
     }
 
-    /// Puts the limit in force that an endpoint names, in requests a second.
+    /// Sets the limit that an endpoint states, in requests a second.
     pub fn limit_endpoint(&mut self, now: Instant, id: &SmolStr, rate: f64) {
         let limit = Limit { rate, burst: 0.0 };
         self.set_limit(now, Subject::Endpoint(id.clone()), limit, ENDPOINTS);
     }
 
-    /// Puts in force what an endpoint bears while it is cold, in requests a second.
+    /// Sets the limit of an endpoint while it is cold, in requests a second.
     pub fn limit_cold_endpoint(&mut self, now: Instant, id: &SmolStr, rate: f64) {
         let limit = Limit { rate, burst: 0.0 };
         self.set_limit(now, Subject::Endpoint(id.clone()), limit, self.cold);
     }
 
-    /// Changes how far all VMs may go beyond what cold endpoints bear, for those that get cold from now on.
+    /// Sets the allowance beyond the rate of cold endpoints, for those that become cold from now on.
     pub fn set_cold_allowance(&mut self, cold: Allowance) {
         self.cold = cold;
     }
 
-    /// Ends the limit of an endpoint.
+    /// Removes the limit of an endpoint.
     pub fn remove_endpoint_limit(&mut self, id: &SmolStr) {
         self.accounts.remove(&Subject::Endpoint(id.clone()));
     }
 
-    /// Keeps the limits of those endpoints only.
+    /// Removes the limits of all endpoints for which `is_kept` returns `false`.
     pub fn retain_endpoints<F>(&mut self, is_kept: F)
     where
         F: Fn(&str) -> bool,
@@ -417,8 +424,8 @@
         account.earn(now, self.vms);
     }
 
-    /// Notes how many VMs share the limits. Fewer than before are not believed: each VM that counts fewer takes a larger
-    /// part, and one that is silent may be cut off and go on.
+    /// Sets the number of VMs that share the limits. A lower number than before is ignored: each VM that counts fewer
+    /// VMs takes a larger share, while a silent VM may only be cut off and continue.
     pub fn set_vms(&mut self, now: Instant, vms: usize) {
         if vms <= self.vms {
             return;
@@ -432,7 +439,7 @@
         }
     }
 
-    /// Takes tokens of a limit for a request. Gives whether there were enough, which is so where there is no limit.
+    /// Acquires tokens of a limit for a request. Returns `true` if there were enough, or if there is no limit.
     pub fn acquire<S>(&mut self, now: Instant, subject: S, tokens: f64) -> bool
     where
         S: Into<Subject>,
@@ -448,10 +455,10 @@
         enough
     }
 
-    /// Grants another VM tokens for a request, or says when it may come again.
+    /// Grants another VM tokens for a request, or returns the time after which to retry.
     ///
-    /// Who is refused is told the time at which those who were refused before have had their turn: with one time for all
-    /// of them, all would come back at once and all but the first be refused again.
+    /// The time includes the tokens for callers that were rejected before. If all were given the same time, all would
+    /// come back at once and all but the first would be rejected again.
     pub fn grant<S>(&mut self, now: Instant, subject: S, tokens: f64) -> Grant
     where
         S: Into<Subject>,
@@ -463,14 +470,14 @@
         let Some(a) = self.accounts.get_mut(&subject) else {
             return Grant::Granted;
         };
-        let missing = a.promised + tokens - a.left();
-        a.promised += tokens;
+        let missing = a.promised_tokens + tokens - a.left();
+        a.promised_tokens += tokens;
         let wait = missing / a.terms.rate.max(f64::MIN_POSITIVE);
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or(LONGEST_WAIT);
-        Grant::Short(wait.clamp(SHORTEST_WAIT, LONGEST_WAIT))
+        let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_WAIT);
+        Grant::Short(wait.clamp(MIN_WAIT, MAX_WAIT))
     }
 
-    /// Takes back what a request took that didn't run, into the account of what this VM earns and up to its bound.
+    /// Refunds the tokens of a request that didn't run, into this VM's own earnings and up to their bound.
     pub fn refund<S>(&mut self, now: Instant, subject: S, tokens: f64)
     where
         S: Into<Subject>,
@@ -482,43 +489,43 @@
         }
     }
 
-    /// Begins a round of collections. Every VM does so each [`COLLECT_EVERY`], whether it keeps a pool or not.
+    /// Begins a round of collections. Every VM does so each [`COLLECT_EVERY`], whether it is a coordinator or not.
     pub fn begin_round(&mut self, now: Instant) {
         for a in self.accounts.values_mut() {
-            (a.lenders, a.counted) = (a.counted, 0);
+            (a.contributors, a.contributing) = (a.contributing, 0);
             a.round = now;
             a.earn(now, self.vms);
         }
     }
 
-    /// Hands over what this VM has of a limit to the VM that keeps its pool; gives none to a second one that asks so
-    /// soon.
-    pub fn transfer<S>(&mut self, now: Instant, subject: S, keeper: &SmolStr) -> Option<f64>
+    /// Transfers this VM's earnings of a limit to its coordinator. Returns `None` if another coordinator asked too
+    /// recently.
+    pub fn transfer<S>(&mut self, now: Instant, subject: S, coordinator: &SmolStr) -> Option<f64>
     where
         S: Into<Subject>,
     {
         let vms = self.vms;
         let a = self.accounts.get_mut(&subject.into())?;
-        let is_taken = a.keeper.as_ref().is_some_and(|(other, at)| {
-            other != keeper && now.saturating_duration_since(*at) < ONE_KEEPER_FOR
+        let is_taken = a.coordinator.as_ref().is_some_and(|(other, at)| {
+            other != coordinator && now.saturating_duration_since(*at) < COORDINATOR_SWITCH_AFTER
         });
         if is_taken {
             return None;
         }
         a.earn(now, vms);
-        a.keeper = Some((keeper.clone(), now));
+        a.coordinator = Some((coordinator.clone(), now));
         Some(std::mem::take(&mut a.own))
     }
 
-    /// Takes in what a VM has handed over; what is too much for the pool is lost.
+    /// Adds tokens that a VM transferred to the pool; tokens beyond the pool's maximum are lost.
     pub fn credit<S>(&mut self, now: Instant, subject: S, tokens: f64)
     where
         S: Into<Subject>,
     {
         let vms = self.vms;
         if let Some(a) = self.accounts.get_mut(&subject.into()) {
-            a.counted += 1;
-            // Tokens are counts: what is no number, or negative, is none.
+            a.contributing += 1;
+            // A count of tokens that is NaN or negative is taken as zero.
             a.pool += tokens.max(0.0);
             a.earn(now, vms);
         }
