--- a/crates/limehollow/tests/peers.rs
+++ b/crates/limehollow/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Who is heard, who leads a zone, and to whom.
+//! Tests of the view of other VMs: liveness, zone leaders and readers, candidates for the lease, recipients of
+//! messages.
 
 use limehollow::peers::{PEER_TIMEOUT, Peers};
 use smol_str::{SmolStr, format_smolstr};
@@ -7,14 +8,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
-/// The start of each VM's process, where a test knows one only.
+/// The start of each VM's process in tests with a single start.
 const START: u64 = 1;
 
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-/// The peers of vm-2: vm-1 and vm-3 in its zone, vm-4 to vm-6 in another.
+/// Returns the peers of vm-2: vm-1 and vm-3 in its zone, vm-4 to vm-6 in another.
 fn peers() -> Peers {
     let mut p = Peers::new("vm-2".into(), "a".into(), 250);
     for i in [1_u16, 3, 4, 5, 6] {
@@ -25,12 +26,12 @@
 }
 
 #[test]
-fn learn_itself_and_again() {
+fn upsert_itself_and_known_vms() {
     let mut p = peers();
     assert!(!p.upsert("vm-2".into(), "a".into(), address(2), 250));
     assert!(
         !p.upsert("vm-3".into(), "a".into(), address(33), 250),
-        "it has moved"
+        "a new address is no new VM"
     );
     assert_eq!(p.address("vm-3"), Some(address(33)));
     assert_eq!(p.known_vms(), 6);
@@ -38,17 +39,20 @@
 
 #[tokio::test(start_paused = true)]
 async fn candidate_is_one_of_the_first_two() {
-    // At its start vm-2 takes vm-1 and vm-3 for alive, though it has heard neither: vm-1 goes before it.
+    // At its start vm-2 counts vm-1 and vm-3 as alive without any message of them; vm-1 comes before it.
     let mut p = peers();
     assert!(p.is_candidate(Instant::now()));
     p.upsert("vm-0".into(), "a".into(), address(9), 250);
-    assert!(!p.is_candidate(Instant::now()), "vm-0 and vm-1 stand");
+    assert!(
+        !p.is_candidate(Instant::now()),
+        "vm-0 and vm-1 are candidates"
+    );
     advance(Duration::from_millis(1600)).await;
-    assert!(p.is_candidate(Instant::now()), "neither was ever heard");
+    assert!(p.is_candidate(Instant::now()), "neither has sent a message");
 }
 
 #[tokio::test(start_paused = true)]
-async fn candidate_steps_up_for_one_that_is_lost() {
+async fn candidate_replaces_one_that_is_lost() {
     let mut p = peers();
     advance(Duration::from_secs(2)).await;
     let now = Instant::now();
@@ -56,7 +60,7 @@
     p.receive(now, "vm-0", START, 1);
     p.receive(now, "vm-1", START, 1);
     assert!(!p.is_candidate(now));
-    // One that says that it can't reach the store leaves its place, and so does one that falls silent.
+    // A VM that reports that it can't reach the store is no candidate any more, nor is one that falls silent.
     p.set_reaches_store("vm-0", false);
     assert!(p.is_candidate(now));
     p.set_reaches_store("vm-0", true);
@@ -65,8 +69,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn candidates_of_a_zone_that_is_cut_off() {
-    // All say that they can't reach the store: the first four go on trying, not the whole zone.
+async fn candidates_of_a_zone_without_the_store() {
+    // If all report that they can't reach the store, the first four stay candidates, not the whole zone.
     let mut p = Peers::new("vm-5".into(), "a".into(), 250);
     let now = Instant::now();
     for i in 1..5 {
@@ -80,7 +84,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn candidate_is_the_stronger_one() {
+async fn candidate_has_more_processor() {
     let mut p = peers();
     p.upsert("vm-3".into(), "a".into(), address(3), 500);
     p.upsert("vm-9".into(), "a".into(), address(9), 500);
@@ -88,7 +92,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn zone_leader_is_the_strongest_that_is_heard() {
+async fn zone_leader_has_most_processor_of_live_vms() {
     let mut p = peers();
     let now = Instant::now();
     p.upsert("vm-3".into(), "a".into(), address(3), 500);
@@ -99,10 +103,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn zone_leader_is_the_first_that_is_heard() {
+async fn zone_leader_is_first_by_name_of_live_vms() {
     let mut p = peers();
     let now = Instant::now();
-    assert!(p.is_zone_leader(now), "nobody else is heard");
+    assert!(p.is_zone_leader(now), "no other VM is alive");
     p.receive(now, "vm-3", START, 1);
     assert!(p.is_zone_leader(now));
     p.receive(now, "vm-1", START, 1);
@@ -114,20 +118,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn is_zone_reader_not_beside_a_stronger_one_that_can_read() {
+async fn is_zone_reader_only_without_a_stronger_reader() {
     let mut p = peers();
     assert!(
         !p.is_zone_reader(Instant::now()),
-        "vm-1 comes before, and can't have been heard yet"
+        "vm-1 comes before and may still be starting"
     );
     advance(Duration::from_millis(1600)).await;
     let now = Instant::now();
-    assert!(p.is_zone_reader(now), "nobody else is heard");
+    assert!(p.is_zone_reader(now), "no other VM is alive");
     p.receive(now, "vm-1", START, 1);
     assert!(!p.is_zone_reader(now), "vm-1 comes before");
     p.set_reads_list("vm-1", false);
-    assert!(p.is_zone_reader(now), "vm-1 is turned away by the store");
-    assert!(!p.is_zone_leader(now), "it leads all the same");
+    assert!(p.is_zone_reader(now), "the store rejects vm-1");
+    assert!(!p.is_zone_leader(now), "vm-1 is still the leader");
     p.set_reads_list("vm-1", true);
     assert!(!p.is_zone_reader(now));
     advance(PEER_TIMEOUT).await;
@@ -135,17 +139,17 @@
 }
 
 #[test]
-fn receive_older_messages_are_none() {
+fn receive_ignores_old_messages() {
     let mut p = peers();
     let now = Instant::now();
     assert!(p.receive(now, "vm-3", START, 7));
     assert!(!p.receive(now, "vm-3", START, 7));
     assert!(!p.receive(now, "vm-3", START, 6));
-    assert!(!p.receive(now, "vm-9", START, 1), "nobody knows it");
+    assert!(!p.receive(now, "vm-9", START, 1), "vm-9 is unknown");
 }
 
 #[tokio::test(start_paused = true)]
-async fn alive_by_words_and_sums() {
+async fn alive_by_messages_and_zone_summaries() {
     let mut p = peers();
     assert_eq!(p.alive(Instant::now()), 1);
     p.receive(Instant::now(), "vm-3", START, 1);
@@ -169,12 +173,12 @@
         reached,
         BTreeSet::from([address(4), address(5), address(6)])
     );
-    // Who speaks for the zone is told, and nobody else: it passes on what it hears.
+    // Only the zone's leader is a recipient; it relays the message.
     p.receive_zone(Instant::now(), "b".into(), "vm-5".into(), 3);
     for _ in 0..4 {
         assert_eq!(p.zone_targets(Instant::now()), [address(5)]);
     }
-    // Once it is silent, the others are told in turn as well.
+    // Once the leader is silent, the others are recipients in rotation as well.
     advance(PEER_TIMEOUT).await;
     let mut reached = BTreeSet::new();
     for _ in 0..3 {
@@ -189,14 +193,14 @@
     assert_eq!(p.neighbours(), [address(1), address(3)]);
 }
 
-/// Guards against a VM that is left alone and fills its link with messages for those that are dark.
+/// Guards against an isolated VM that fills its link with messages to VMs that don't answer.
 #[tokio::test(start_paused = true)]
-async fn told_here_silent_vms_in_turn() {
+async fn zone_recipients_rotate_over_silent_vms() {
     let mut p = Peers::new("vm-0".into(), "a".into(), 250);
     for i in 1..=20 {
         p.upsert(format!("vm-{i}").into(), "a".into(), address(i), 250);
     }
-    // Those that may just be starting are told all.
+    // VMs that may still be starting are all recipients.
     assert_eq!(p.zone_recipients(Instant::now()).len(), 20);
     advance(Duration::from_secs(5)).await;
     let mut reached = BTreeSet::new();
@@ -207,7 +211,7 @@
     }
     assert_eq!(reached.len(), 20);
     assert_eq!(p.responsive_neighbours(Instant::now()), []);
-    // One that comes back is told at once, each time.
+    // A VM that comes back is a recipient of each message at once.
     p.receive(Instant::now(), "vm-7", 1, 1);
     for _ in 0..3 {
         assert!(p.zone_recipients(Instant::now()).contains(&address(7)));
@@ -231,8 +235,8 @@
 
 #[test]
 fn receive_from_a_later_start() {
-    // The VM's clock was set back before it started again: whatever its numbers are, it is heard at once, and what its
-    // former start had sent comes late.
+    // The VM's clock was set back before a restart: its messages count at once, whatever their numbers, and late
+    // messages of the former start are ignored.
     let (mut p, now) = (peers(), Instant::now());
     let (first, second, third) = (9_000, 7, 8_000);
     assert!(p.receive(now, "vm-3", first, 500));
@@ -242,7 +246,7 @@
     assert!(p.receive(now, "vm-3", third, 1));
     assert!(
         !p.receive(now, "vm-3", first, 502),
-        "not two starts later either"
+        "nor after two more starts"
     );
     assert!(!p.receive(now, "vm-3", second, 3));
 }
