--- a/crates/limehollow/tests/candidacy.rs
+++ b/crates/limehollow/tests/candidacy.rs
@@ -1,4 +1,4 @@
-//! Who stands for the lease, and when, on paused time.
+//! Tests of when a candidate joins the group for the lease, on paused time.
 
 use limehollow::candidacy::{CANDIDATE_STAGGER, Candidacy, HOLDER_TIMEOUT, Notice, STARTUP_WAIT};
 use limehollow::group_lease::{Predecessor, Term};
@@ -23,18 +23,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stands_at_its_start_once_it_has_listened() {
+async fn may_join_after_the_wait_at_the_start() {
     let c = Candidacy::new(Instant::now());
     assert!(!c.may_join(Instant::now(), 0));
     advance(STARTUP_WAIT).await;
     assert!(c.may_join(Instant::now(), 0));
-    assert!(!c.may_join(Instant::now(), 1), "the first goes before it");
+    assert!(
+        !c.may_join(Instant::now(), 1),
+        "the first candidate comes before it"
+    );
     advance(CANDIDATE_STAGGER).await;
     assert!(c.may_join(Instant::now(), 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn stands_not_while_a_holder_is_heard() {
+async fn may_join_not_while_a_holder_sends_notices() {
     let mut c = Candidacy::new(Instant::now());
     for _ in 0..20 {
         advance(Duration::from_millis(100)).await;
@@ -51,19 +54,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stands_at_once_when_the_holder_resigns() {
+async fn may_join_at_once_when_the_holder_resigns() {
     let mut c = Candidacy::new(Instant::now());
     c.observe(Instant::now(), holds("vm-2", 4));
     assert!(c.observe(Instant::now(), resigns("vm-2", 4, None)));
     assert!(c.may_join(Instant::now(), 0));
-    // It repeats that for a while; the turn of the next runs from its first word.
+    // The resignation is repeated for a while; the wait of the next candidate counts from its first notice.
     advance(CANDIDATE_STAGGER).await;
     assert!(!c.observe(Instant::now(), resigns("vm-2", 4, None)));
     assert!(c.may_join(Instant::now(), 1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn hear_late_words_of_an_earlier_holder() {
+async fn observe_late_notices_of_an_earlier_holder() {
     let mut c = Candidacy::new(Instant::now());
     c.observe(Instant::now(), holds("vm-3", 6));
     assert!(!c.observe(Instant::now(), resigns("vm-2", 4, None)));
@@ -75,7 +78,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn predecessor_only_where_nobody_can_have_been_between() {
+async fn predecessor_only_without_a_holder_in_between() {
     let mut c = Candidacy::new(Instant::now());
     let now = Instant::now();
     assert_eq!(c.predecessor(now, 5), Predecessor::Unknown);
@@ -90,7 +93,7 @@
     assert_eq!(
         c.predecessor(now, 7),
         Predecessor::Unknown,
-        "another may have joined"
+        "another VM may have joined"
     );
     assert_eq!(c.predecessor(now, 4), Predecessor::Unknown);
     advance(HOLDER_TIMEOUT).await;
@@ -102,20 +105,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn listen_anew_after_a_freeze() {
+async fn restart_waits_again_after_a_freeze() {
     let mut c = Candidacy::new(Instant::now());
     c.observe(Instant::now(), holds("vm-1", 4));
     advance(Duration::from_secs(8)).await;
     c.restart(Instant::now());
-    assert!(!c.may_join(Instant::now(), 0), "another may hold it by now");
+    assert!(
+        !c.may_join(Instant::now(), 0),
+        "another VM may hold the lease by now"
+    );
     advance(STARTUP_WAIT).await;
     assert!(c.may_join(Instant::now(), 0));
 }
 
 #[tokio::test(start_paused = true)]
-async fn hear_the_holder_after_the_store_came_back_from_a_copy() {
-    // Its generation is lower than that of the holder before; candidates that didn't hear it would join, and move the lease again and
-    // again.
+async fn observe_holder_of_a_restored_store() {
+    // Its generation is lower than that of the previous holder. Candidates that ignored its notices would join, and
+    // move the lease again and again.
     let mut c = Candidacy::new(Instant::now());
     let fence = |era, generation| Term { era, generation }.fence();
     c.observe(Instant::now(), holds("vm-1", fence(0, 40)));
