--- a/crates/limehollow/tests/lease.rs
+++ b/crates/limehollow/tests/lease.rs
@@ -1,4 +1,4 @@
-//! When a controller tries to take its zone's lease.
+//! Tests of when a controller tries to take over its zone's lease.
 
 mod records;
 
@@ -12,8 +12,8 @@
 const TTL: Duration = Duration::from_secs(3);
 const STAGGER: Duration = Duration::from_millis(400);
 
-fn watch(me: &str, incarnation: u64) -> LeaseWatch {
-    LeaseWatch::new("a".into(), me.into(), incarnation).with_times(TTL, STAGGER)
+fn watch(own_vm: &str, incarnation: u64) -> LeaseWatch {
+    LeaseWatch::new("a".into(), own_vm.into(), incarnation).with_times(TTL, STAGGER)
 }
 
 fn secs(s: f64) -> Duration {
@@ -22,7 +22,7 @@
 
 #[test]
 fn poll_free_lease() {
-    // The first in the zone tries at once, the others one after the other.
+    // The first controller of the zone tries at once, the others one after the other.
     let (s, t) = (Story::default(), Instant::now());
     let first = watch("vm-1", 1)
         .poll(t, &s.fleet, 0)
@@ -44,19 +44,19 @@
     assert_eq!(
         w.poll(t + secs(5.0), &s.fleet, 1),
         None,
-        "3 s of silence and its turn are not over"
+        "3 s of silence and the stagger are not over"
     );
-    let take = w
+    let takeover = w
         .poll(t + secs(5.4), &s.fleet, 1)
         .expect("the holder is silent");
-    assert_eq!(take.replaces, Some(epoch));
-    // The append may be lost: it is tried again, but not at once.
+    assert_eq!(takeover.replaces, Some(epoch));
+    // The append may be lost: it is retried, but not at once.
     assert_eq!(w.poll(t + secs(6.0), &s.fleet, 1), None);
     assert!(w.poll(t + secs(8.4), &s.fleet, 1).is_some());
 }
 
 #[test]
-fn poll_new_holder_gets_its_time() {
+fn poll_new_holder_gets_the_whole_timeout() {
     let mut s = Story::default();
     s.ok(lease("vm-1", None));
     let t = Instant::now();
@@ -66,13 +66,13 @@
     assert_eq!(
         w.poll(t + secs(10.0), &s.fleet, 2),
         None,
-        "the silence was another holder's"
+        "the silence was that of another holder"
     );
 }
 
 #[test]
-fn poll_own_earlier_life() {
-    // A restarted controller needn't wait for itself.
+fn poll_own_earlier_incarnation() {
+    // A restarted controller doesn't wait for its former incarnation.
     let mut s = Story::default();
     s.ok(lease("vm-1", None));
     let mut w = watch("vm-1", 2);
@@ -82,7 +82,7 @@
 
 #[test]
 fn poll_race() {
-    // Two try at the same time: the log's order decides, and both see the same holder.
+    // Two controllers try at the same time: the order of the log decides, and both see the same holder.
     let mut s = Story::default();
     s.ok(lease("vm-0", None));
     let t = Instant::now();
