--- a/crates/limehollow/tests/membership.rs
+++ b/crates/limehollow/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who lives, who is another incarnation, who watches what.
+//! Tests of heartbeats: liveness, incarnations, gossip and the choice of watchers.
 
 use limehollow::id::{Offset, VmName};
 use limehollow::membership::{FANOUT, Heartbeat, Liveness, MAX_HEARTBEATS, Membership, watches};
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn merge_only_news() {
+fn merge_only_newer_heartbeats() {
     let t = Instant::now();
     let mut m = Membership::new(t, "me".into(), 1);
     assert!(m.merge(t, beat("peer", 1, 5, 0)));
     assert!(
         !m.merge(t + secs(3), beat("peer", 1, 5, 0)),
-        "the same again is no sign of life"
+        "a repeated heartbeat is no sign of life"
     );
     assert!(
         !m.merge(t + secs(3), beat("peer", 1, 4, 0)),
@@ -68,7 +68,7 @@
     );
     assert!(
         !m.merge(t, beat("peer", 1, 501, 9)),
-        "late news of the old one is none"
+        "a late heartbeat of the old incarnation is ignored"
     );
     assert_eq!(
         m.heartbeat("peer").map(|h| (h.incarnation, h.next)),
@@ -86,37 +86,37 @@
 }
 
 #[test]
-fn merge_about_myself() {
+fn merge_ignores_own_heartbeat() {
     let t = Instant::now();
     let mut m = Membership::new(t, "me".into(), 2);
     assert!(
         !m.merge(t, beat("me", 1, 900, 50)),
-        "what others say of an earlier life"
+        "a heartbeat of an earlier incarnation of this VM"
     );
     assert_eq!(m.heartbeat("me").map(|h| h.incarnation), Some(2));
 }
 
 #[test]
-fn digest_bounded_and_fair() {
-    // In a large zone each peer's heartbeat is passed on in turn.
+fn digest_is_bounded_and_fair() {
+    // In a large zone the heartbeats of all peers are relayed in rotation.
     let t = Instant::now();
     let mut m = Membership::new(t, "me".into(), 1);
     for n in 0..60 {
         m.merge(t, beat(&format!("peer-{n:02}"), 1, 1, 0));
     }
-    let mut told: BTreeMap<VmName, u32> = BTreeMap::new();
+    let mut sent: BTreeMap<VmName, u32> = BTreeMap::new();
     for round in 0..3 {
         let d = m.digest(t + Duration::from_millis(round), &[]);
         assert!(d.len() <= MAX_HEARTBEATS);
         assert_eq!(d[0].vm.as_str(), "me");
         for h in d {
-            *told.entry(h.vm).or_default() += 1;
+            *sent.entry(h.vm).or_default() += 1;
         }
     }
-    assert_eq!(told.len(), 61, "three messages told of all");
+    assert_eq!(sent.len(), 61, "three messages cover all peers");
 }
 
-/// A zone of VMs that gossip once a second: each asks three others and both tell what they know.
+/// A zone of VMs that gossip once a second: each exchanges heartbeats with three others.
 struct Zone {
     now: Instant,
     all: Vec<Membership>,
@@ -145,13 +145,13 @@
         for i in 0..self.all.len() {
             for _ in 0..FANOUT {
                 let peer = self.rng.random_range(0..self.all.len());
-                let said = self.tell(i, peer, &[]);
-                self.tell(peer, i, &said);
+                let digest = self.send_digest(i, peer, &[]);
+                self.send_digest(peer, i, &digest);
             }
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, known: &[Heartbeat]) -> Vec<Heartbeat> {
+    fn send_digest(&mut self, from: usize, to: usize, known: &[Heartbeat]) -> Vec<Heartbeat> {
         let digest = self.all[from].digest(self.now, known);
         for h in &digest {
             self.all[to].merge(self.now, h.clone());
@@ -159,7 +159,7 @@
         digest
     }
 
-    /// Gives how many pairs take each other for anything but alive.
+    /// Returns the number of pairs in which one VM doesn't consider the other alive.
     fn doubts(&self) -> usize {
         let names: Vec<String> = (0..self.all.len()).map(|n| format!("vm-{n:02}")).collect();
         let doubt = |m: &Membership| {
@@ -185,8 +185,7 @@
 
 #[test]
 fn spread_keeps_all_alive() {
-    // At the largest size that is planned for, nobody who lives is taken for dead, and next to nobody
-    // for suspect.
+    // At the largest planned size no live VM is considered dead, and hardly any is considered suspect.
     let mut z = Zone::new(53);
     for _ in 0..20 {
         z.round();
@@ -216,7 +215,7 @@
         for p in &now {
             *load.entry(*p).or_default() += 1;
         }
-        // One VM less moves only what it watched.
+        // The removal of one VM moves only the subjects that it watched.
         let less: Vec<&VmName> = peers[1..]
             .iter()
             .filter(|p| watches(p, peers[1..].iter(), &subject, 2))
