--- a/crates/limehollow/tests/send_budget.rs
+++ b/crates/limehollow/tests/send_budget.rs
@@ -1,4 +1,4 @@
-//! What VMs say to each other stays within a budget, and the most urgent goes first.
+//! Tests of the send budget: the total stays within the rate, and urgent datagrams have priority.
 
 use limehollow::send_budget::{SendBudget, Urgency};
 use std::time::Duration;
@@ -8,23 +8,23 @@
 const DATAGRAM: usize = 800;
 const STEP: Duration = Duration::from_millis(1);
 
-/// Asks for as much as a sender would like, each ms, and gives the bytes of each urgency that went in so many seconds.
+/// Tries to send `copies` datagrams of each urgency every ms, and returns the bytes sent of each within `seconds`.
 fn flood(per_step: &[(Urgency, usize)], seconds: u32) -> Vec<usize> {
     let began = Instant::now();
     let mut budget = SendBudget::new(began, RATE);
-    let mut went = vec![0; per_step.len()];
+    let mut sent = vec![0; per_step.len()];
     for i in 0..seconds * 1000 {
         let now = began + STEP * i;
-        for (sum, (urgency, copies)) in went.iter_mut().zip(per_step) {
-            let taken = (0..*copies).filter(|_| budget.try_spend(now, DATAGRAM, *urgency));
-            *sum += taken.count() * DATAGRAM;
+        for (sum, (urgency, copies)) in sent.iter_mut().zip(per_step) {
+            let spent = (0..*copies).filter(|_| budget.try_spend(now, DATAGRAM, *urgency));
+            *sum += spent.count() * DATAGRAM;
         }
     }
-    went
+    sent
 }
 
 #[test]
-fn take_sum_stays_within_the_rate() {
+fn try_spend_total_stays_within_the_rate() {
     for copies in [1, 10, 100] {
         let all = [
             (Urgency::Relayed, copies),
@@ -32,18 +32,18 @@
             (Urgency::Change, copies),
             (Urgency::Answer, copies),
         ];
-        let went: usize = flood(&all, 10).iter().sum();
-        // What was saved at the beginning comes on top.
+        let sent: usize = flood(&all, 10).iter().sum();
+        // The savings at the beginning come on top.
         let most = 10.0 * RATE + RATE / 2.0 + 1.0;
         #[expect(clippy::cast_precision_loss, reason = "tests count little")]
-        let went = went as f64;
-        assert!(went <= most, "{went} with {copies} copies");
-        assert!(went >= 0.9 * most, "{went} with {copies} copies");
+        let sent = sent as f64;
+        assert!(sent <= most, "{sent} with {copies} copies");
+        assert!(sent >= 0.9 * most, "{sent} with {copies} copies");
     }
 }
 
 #[test]
-fn take_answers_go_before_a_flood_of_all_else() {
+fn try_spend_leaves_room_for_answers_in_a_flood() {
     let began = Instant::now();
     let mut budget = SendBudget::new(began, RATE);
     for i in 0..2000 {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn set_rate_takes_back_what_was_saved_above_it() {
+fn set_rate_drops_savings_above_the_new_maximum() {
     let now = Instant::now();
     let mut budget = SendBudget::new(now, RATE);
     budget.set_rate(now, RATE / 100.0);
