--- a/crates/limehollow/tests/start_tree.rs
+++ b/crates/limehollow/tests/start_tree.rs
@@ -1,4 +1,4 @@
-//! From whom VMs that start get the site's state.
+//! Tests of the tree that assigns starting VMs their parents.
 
 use limehollow::log_position::LogPosition;
 use limehollow::start_tree::{FANOUT, Parent, StartTree};
@@ -15,8 +15,8 @@
     LogPosition::new(1, offset)
 }
 
-/// Places so many VMs of one zone. Gives the parent of each.
-fn place(tree: &mut StartTree, now: Instant, vms: u16) -> Vec<Parent> {
+/// Adds `vms` VMs of one zone to the tree and returns the parent of each.
+fn add_vms(tree: &mut StartTree, now: Instant, vms: u16) -> Vec<Parent> {
     let numbers = 1..=vms;
     numbers
         .map(|n| tree.assign_parent(now, &"a".into(), (vm(n), 250), at(7)))
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn place_bounds_what_one_vm_hands_over_and_the_steps() {
+fn assign_parent_bounds_children_and_steps() {
     for vms in [1, 2, 30, 300, 2000] {
-        let givers = place(&mut StartTree::default(), Instant::now(), vms);
+        let parents = add_vms(&mut StartTree::default(), Instant::now(), vms);
         let mut children: HashMap<SocketAddr, usize> = HashMap::new();
         let mut steps: HashMap<SocketAddr, u32> = HashMap::new();
-        for (n, giver) in (1..).zip(&givers) {
-            let before = match giver {
+        for (n, parent) in (1..).zip(&parents) {
+            let before = match parent {
                 Parent::AskedVm => 0,
                 Parent::Other(parent) => {
                     *children.entry(*parent).or_default() += 1;
@@ -43,31 +43,31 @@
         let most: u32 = steps.values().max().copied().unwrap_or(0);
         let log = f64::from(vms).log(3.0).ceil();
         assert!(f64::from(most) <= log + 1.0, "{vms} VMs: {most} steps");
-        let by_me = givers.iter().filter(|g| **g == Parent::AskedVm).count();
-        assert_eq!(by_me, 1, "{vms} VMs");
+        let from_asked_vm = parents.iter().filter(|g| **g == Parent::AskedVm).count();
+        assert_eq!(from_asked_vm, 1, "{vms} VMs");
     }
 }
 
 #[test]
-fn place_again_goes_up_to_the_one_that_was_asked() {
+fn assign_parent_again_goes_up_to_the_asked_vm() {
     let (mut tree, now) = (StartTree::default(), Instant::now());
-    place(&mut tree, now, 30);
-    let mut givers = Vec::new();
-    while givers.last() != Some(&Parent::AskedVm) {
-        givers.push(tree.assign_parent(now, &"a".into(), (vm(30), 250), at(7)));
-        assert!(givers.len() < 6, "{givers:?}");
+    add_vms(&mut tree, now, 30);
+    let mut parents = Vec::new();
+    while parents.last() != Some(&Parent::AskedVm) {
+        parents.push(tree.assign_parent(now, &"a".into(), (vm(30), 250), at(7)));
+        assert!(parents.len() < 6, "{parents:?}");
     }
     // The parent of the 30th is the eighth, whose own is the second.
     assert_eq!(
-        givers,
+        parents,
         [Parent::Other(vm(2)), Parent::Other(vm(1)), Parent::AskedVm]
     );
 }
 
 #[test]
-fn place_forgets_those_of_long_ago() {
+fn assign_parent_discards_old_trees() {
     let (mut tree, now) = (StartTree::default(), Instant::now());
-    place(&mut tree, now, 5);
+    add_vms(&mut tree, now, 5);
     let later = now + Duration::from_secs(11);
     assert_eq!(
         tree.assign_parent(later, &"a".into(), (vm(9), 250), at(7)),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn place_has_strong_vms_hand_over() {
+fn assign_parent_prefers_strong_parents() {
     // Every third VM is strong.
     let (mut tree, now) = (StartTree::default(), Instant::now());
     let mut weak_parents = 0;
@@ -88,14 +88,14 @@
             weak_parents += usize::from(parent.port() % 3 != 0);
         }
     }
-    // Only the first two, before a strong one has asked.
+    // Only the first two are weak parents, before a strong VM has asked.
     assert!(weak_parents <= 2 * FANOUT, "{weak_parents}");
 }
 
 #[test]
-fn place_anew_once_the_list_was_read_on() {
+fn assign_parent_begins_a_new_tree_at_another_position() {
     let (mut tree, now) = (StartTree::default(), Instant::now());
-    place(&mut tree, now, 30);
+    add_vms(&mut tree, now, 30);
     assert_eq!(
         tree.assign_parent(now, &"a".into(), (vm(30), 250), at(8)),
         Parent::AskedVm
