--- a/crates/limehollow/tests/roster.rs
+++ b/crates/limehollow/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Which of the list and the controller's reports is believed.
+//! Tests of whether entries of the list or reports of the controller take precedence.
 
 mod site;
 
@@ -15,8 +15,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn list_older_than_the_report() {
-    // The list lags and counts no orders: an entry that comes soon after a report is outdated.
+async fn apply_entry_older_than_the_report() {
+    // The list lags and counts no orders: an entry that arrives soon after a report is outdated.
     let (mut r, keys) = roster(&[&["big-0"]]);
     assert!(
         r.apply_report(Instant::now(), &report(2, &["big-1"]))
@@ -28,7 +28,7 @@
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-1"])
     );
-    // Nor does it come to be believed later: it was written before the report.
+    // The entry isn't applied later either, as it was written before the report.
     advance(REPORT_PREFERRED).await;
     assert!(!r.apply_held_back(Instant::now()));
     assert_eq!(
@@ -38,11 +38,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn list_after_the_report() {
+async fn apply_entry_after_the_report() {
     let (mut r, keys) = roster(&[&["big-0"]]);
     r.apply_report(Instant::now(), &report(1, &[]));
     let entry = endpoint(0, "a", holding(&["big-0"]));
-    // What is about to go is still listed: the report holds for a while.
+    // A model that is about to be unloaded is still listed: the report takes precedence for a while.
     r.apply_entry(Instant::now(), entry.clone());
     assert!(r.get(keys[0]).expect("listed").holdings.is_empty());
     advance(REPORT_PREFERRED).await;
@@ -54,15 +54,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn list_that_was_held_back() {
-    // An unload was told and its order lost. The list says late that the model is there, and only once.
+async fn apply_held_back_entry() {
+    // An unload was reported but its order was lost. The list shows the model late, and only once.
     let (mut r, keys) = roster(&[&["big-0"]]);
     r.apply_report(Instant::now(), &report(1, &[]));
     advance(REPORT_PREFERRED.mul_f64(0.8)).await;
     r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
     assert!(
         !r.apply_held_back(Instant::now()),
-        "the report is preferred"
+        "the report takes precedence"
     );
     advance(REPORT_PREFERRED.mul_f64(0.3)).await;
     assert!(r.apply_held_back(Instant::now()));
@@ -70,11 +70,11 @@
         r.get(keys[0]).expect("listed").holdings,
         holding(&["big-0"])
     );
-    assert!(!r.apply_held_back(Instant::now()), "once");
+    assert!(!r.apply_held_back(Instant::now()), "only once");
 }
 
 #[test]
-fn report_older_than_the_last_one() {
+fn apply_report_older_than_the_last_one() {
     let (mut r, keys) = roster(&[&["big-0"]]);
     assert!(
         r.apply_report(Instant::now(), &report(3, &["big-2"]))
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn report_of_few_orders_after_many_entries() {
-    // However often the endpoint was listed, its first order is news.
+fn apply_report_of_few_orders_after_many_entries() {
+    // However often the endpoint was listed, the report of its first order is newer.
     let (mut r, keys) = roster(&[&["big-0"]]);
     for _ in 0..50 {
         r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn list_never_takes_leaving_back() {
+fn apply_entry_never_ends_leaving() {
     let (mut r, keys) = roster(&[&["big-0"]]);
     r.mark_leaving(keys[0]);
     r.apply_entry(Instant::now(), endpoint(0, "a", holding(&["big-0"])));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn remove_then_list_is_another_key() {
+fn remove_then_apply_entry_gives_another_key() {
     let (mut r, keys) = roster(&[&["big-0"]]);
     assert_eq!(r.remove("i-0"), Some(keys[0]));
     assert!(
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn unhold_until_listed_anew() {
+fn remove_holding_until_the_next_entry() {
     let (mut r, keys) = roster(&[&["big-0", "big-1"]]);
     r.remove_holding(keys[0], &model("big-1"));
     assert_eq!(
