--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -1,15 +1,16 @@
-//! What VMs of a site tell each other, by datagram.
+//! The messages between the VMs of a site, by datagram.
 //!
-//! Inside a zone each VM sends several times a second what its requests take at the endpoints and what its
-//! callers ask for. One VM of each zone sends the sums to the other zones. The controller sends all zones what
-//! it did. A lost datagram is made good by the next ([`limehollow::peers`], `docs/design/system.md`).
+//! Inside a zone, each VM sends several times a second its usage of the endpoints and the demand of its
+//! callers. One VM of each zone sends a zone summary to the other zones. The controller sends reports of
+//! its orders to all zones. The next message makes up for a lost datagram ([`limehollow::peers`],
+//! `docs/design/system.md`).
 
 use crate::edge::{Feed, Protocol};
 use crate::logging;
 use crate::metrics::{EventLabels, Metrics};
 use crate::query;
 pub use crate::receiver::handle_message;
-use crate::sender::GONE_SAID_FOR;
+use crate::sender::GONE_SENT_FOR;
 pub use crate::sender::{GossipSender, Outgoing};
 use crate::site::Site;
 use crate::site_view::SiteView;
@@ -26,16 +27,17 @@
 use tokio::time::{Instant, interval, sleep};
 
 /// The pause after a datagram could not be read.
-const READ_AGAIN_AFTER: Duration = Duration::from_millis(15);
-/// The largest datagram that is read.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(15);
+/// The largest datagram that is sent or read.
 const MAX_MESSAGE: usize = 60 << 10;
-/// After how long what a VM's callers asked for, or waited for, counts no more.
+/// The time after which the reported demand of a VM's callers, and the loads that they requested, are no
+/// longer counted.
 const DEMAND_LIFE: Duration = Duration::from_secs(2);
-const WANT_LIFE: Duration = Duration::from_secs(1);
-/// How often what is kept at rest is swept.
+const REQUESTED_LOAD_LIFE: Duration = Duration::from_secs(1);
+/// How often expired state is removed.
 const SWEEP_EVERY: Duration = Duration::from_secs(1);
 
-/// The way of this VM's datagrams, which share one budget.
+/// The socket for this VM's datagrams, with the send budget that they share.
 #[derive(Debug)]
 pub struct GossipSocket<P> {
     site: Arc<Site<P>>,
@@ -47,7 +49,7 @@
 where
     P: Protocol,
 {
-    /// Makes the way through a socket.
+    /// Wraps a socket, with the send budget of the settings.
     #[must_use]
     pub fn new(site: Arc<Site<P>>, socket: UdpSocket) -> Self {
         let rate = site.settings.load().gossip_bytes_per_s();
@@ -62,13 +64,13 @@
         self.send(&Datagram::Message(Box::new(message)), to).await;
     }
 
-    /// Sends a datagram to those for whom the budget lasts.
+    /// Sends a datagram to as many of the targets as the budget allows.
     async fn send(&self, datagram: &Datagram, to: &[SocketAddr]) {
         let metrics = &self.site.metrics;
         let bytes = match encode(datagram) {
             Ok(b) => b,
             Err(e) => {
-                tracing::error!(error = %e, "a message can't be written");
+                tracing::error!(error = %e, "failed to encode a message");
                 return;
             }
         };
@@ -81,7 +83,7 @@
             );
             return;
         }
-        // Not always the same ones go without.
+        // A random start, so that it isn't always the same targets that get no copy.
         let first = rand::random_range(0..to.len().max(1));
         let (before, from) = to.split_at(first);
         let mut sent = 0;
@@ -90,9 +92,9 @@
                 break;
             }
             sent += 1;
-            // A VM that is gone refuses or is silent; its silence shows elsewhere.
+            // A VM that is gone refuses the datagram or is silent. Its silence is noticed elsewhere.
             if let Err(e) = self.socket.send_to(&bytes, *a).await {
-                tracing::debug!(to = %a, error = %e, "a message was not sent");
+                tracing::debug!(to = %a, error = %e, "failed to send a message");
             }
         }
         traffic::count(metrics, Direction::Sent, datagram, bytes.len(), sent);
@@ -109,24 +111,26 @@
 }
 
 /// Sends this VM's messages for as long as the process lives.
-pub async fn send<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wanted: Arc<Notify>)
+pub async fn send<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wake_controller: Arc<Notify>)
 where
     P: Protocol,
 {
     let mut s = GossipSender::new(Arc::clone(&site));
     loop {
-        let outgoing = s.next(&wanted).await;
-        note_lost_time(&site);
+        let outgoing = s.next(&wake_controller).await;
+        log_suspension(&site);
         for (message, to) in outgoing {
             socket.send_message(message, &to).await;
         }
     }
 }
 
-/// Says so if the machine was suspended, once it goes on. What waits for a time reckons anew then.
+/// Logs a suspension of the machine after it has resumed. Whatever waits for a time recomputes its deadline
+/// then.
 ///
-/// Ages need no word: they are reckoned by a clock that went on. This is called several times a second.
-fn note_lost_time<P>(site: &Site<P>)
+/// Ages need no correction, as they are computed with a clock that counts the suspension. This is called
+/// several times a second.
+fn log_suspension<P>(site: &Site<P>)
 where
     P: Protocol,
 {
@@ -136,15 +140,18 @@
     }
 }
 
-/// Takes in other VMs' messages for as long as the process lives.
-pub async fn receive<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>, wanted: Arc<Notify>)
-where
+/// Receives other VMs' messages for as long as the process lives.
+pub async fn receive<P>(
+    site: Arc<Site<P>>,
+    socket: Arc<GossipSocket<P>>,
+    wake_controller: Arc<Notify>,
+) where
     P: Protocol,
 {
     let mut buf = vec![0; MAX_MESSAGE];
     loop {
         let (n, from) = match socket.socket.recv_from(&mut buf).await {
-            Ok(came) => came,
+            Ok(received) => received,
             Err(e) => {
                 pause_after(&e).await;
                 continue;
@@ -153,7 +160,7 @@
         let datagram = match decode(&buf[..n]) {
             Ok(d) => d,
             Err(e) => {
-                tracing::debug!(error = %e, "a message can't be read");
+                tracing::debug!(error = %e, "failed to decode a message");
                 continue;
             }
         };
@@ -171,7 +178,7 @@
             }
         };
         if !w.wants.is_empty() {
-            wanted.notify_one();
+            wake_controller.notify_one();
         }
         if let Some((message, to)) = handle_message(&site, w) {
             socket.send_message(message, &to).await;
@@ -179,7 +186,7 @@
     }
 }
 
-/// Sends this VM's questions to other VMs for as long as the process lives.
+/// Sends this VM's queries to other VMs for as long as the process lives.
 pub async fn send_questions<P>(site: Arc<Site<P>>, socket: Arc<GossipSocket<P>>)
 where
     P: Protocol,
@@ -193,12 +200,12 @@
 }
 
 async fn pause_after(e: &io::Error) {
-    tracing::debug!(error = %e, "no message could be read");
-    sleep(READ_AGAIN_AFTER).await;
+    tracing::debug!(error = %e, "failed to receive a message");
+    sleep(READ_RETRY_PAUSE).await;
 }
 
-/// Notes how old the copies of the feeds are that have a bound.
-fn note_ages(now: Instant, view: &SiteView, metrics: &Metrics) {
+/// Records in the metrics the ages of those copies of feeds that have a bound.
+fn record_ages(now: Instant, view: &SiteView, metrics: &Metrics) {
     let feeds = [
         (Feed::Configuration, "configuration"),
         (Feed::Endpoints, "endpoints"),
@@ -214,7 +221,8 @@
     }
 }
 
-/// Forgets requests under which endpoints crashed too long ago, also where that is kept outside this process.
+/// Forgets requests under which endpoints crashed too long ago. The zone's leader has them removed from the
+/// store as well.
 fn forget_crashes(now: Instant, view: &mut SiteView) {
     for request in view.quarantine.sweep(now) {
         tracing::info!(%request, "a quarantined request is forgotten");
@@ -224,7 +232,7 @@
     }
 }
 
-/// Sweeps once a second what is kept at rest, and says how many log lines were left out.
+/// Removes expired state once a second, and logs how many log lines were dropped.
 pub async fn sweep<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
@@ -245,7 +253,7 @@
             let settings = site.settings.load();
             view.quotas.set_allowance(now, settings.quota_allowance());
             view.quotas.set_cold_allowance(settings.cold_allowance());
-            note_ages(now, view, &site.metrics);
+            record_ages(now, view, &site.metrics);
             if view.roster.apply_held_back(now) {
                 site.endpoints_changed.notify_waiters();
             }
@@ -254,19 +262,19 @@
             view.taken
                 .retain(|_, (at, _)| now.duration_since(*at) < MESSAGE_LIFE);
             view.requested_loads
-                .retain(|_, at| now.duration_since(*at) < WANT_LIFE);
-            for said in [&mut view.gone, &mut view.leaving] {
-                said.retain(|_, at| now.duration_since(*at) < GONE_SAID_FOR);
+                .retain(|_, at| now.duration_since(*at) < REQUESTED_LOAD_LIFE);
+            for recent in [&mut view.gone, &mut view.leaving] {
+                recent.retain(|_, at| now.duration_since(*at) < GONE_SENT_FOR);
             }
             let is_there = |k| view.roster.get(k).is_some();
             view.crash_watch.sweep(now);
             site.pool.sweep(is_there);
             site.control_pool.sweep(is_there);
         }
-        let out = logging::refill();
-        if out > 0 {
-            site.metrics.lines_left_out.inc_by(out);
-            tracing::warn!(lines = out, "log lines on requests were left out");
+        let dropped = logging::refill();
+        if dropped > 0 {
+            site.metrics.lines_left_out.inc_by(dropped);
+            tracing::warn!(lines = dropped, "log lines on requests were dropped");
         }
     }
 }
--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -5,7 +5,7 @@
 //! kept in the platform's store, for when all VMs are started anew at once.
 
 use crate::edge::{PeerStates, Protocol, Store};
-use crate::sender::pace;
+use crate::sender::interval;
 use crate::site::Site;
 use limehollow::balance::MESSAGE_LIFE;
 use limehollow::crash_record::CrashRecord;
@@ -57,7 +57,7 @@
     P: Protocol,
 {
     let neighbours = site.view().peers.neighbours().len();
-    let differs_for = pace(neighbours)
+    let differs_for = interval(neighbours)
         .mul_f64(DIFFERS_FOR_MESSAGES)
         .min(DIFFERS_FOR);
     loop {
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -1,9 +1,9 @@
-//! How another VM's message is taken in, and what of it is passed on.
+//! How another VM's message is applied, and what of it is relayed.
 
 use crate::edge::Protocol;
 use crate::endpoint_signals;
 use crate::quarantine_sync::ReportedDigest;
-use crate::sender::{Outgoing, pace_of_sums};
+use crate::sender::{Outgoing, summary_interval};
 use crate::site::Site;
 use limehollow::balance::Taken;
 use limehollow::candidacy::Notice;
@@ -13,31 +13,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Takes in another VM's message. Gives what is to be passed on, and to whom.
+/// Applies another VM's message. Returns the message to relay, if any, with its targets.
 pub fn handle_message<P>(site: &Site<P>, mut w: Message) -> Option<Outgoing>
 where
     P: Protocol,
 {
     let is_forwarded = std::mem::take(&mut w.forward);
-    take_in_crashes(site, &mut w);
-    let says_nothing = w.scope == Scope::News && w.reports.is_empty() && w.crashes.is_empty();
-    let passes_on = is_forwarded && !says_nothing && is_due(site, &w);
-    let on = passes_on.then(|| {
+    merge_crashes(site, &mut w);
+    let is_empty = w.scope == Scope::News && w.reports.is_empty() && w.crashes.is_empty();
+    let relays = is_forwarded && !is_empty && is_due(site, &w);
+    let relayed = relays.then(|| {
         (
             w.clone(),
             site.view().peers.responsive_neighbours(site.now()),
         )
     });
-    take_in(site, w);
-    on
+    apply(site, w);
+    relayed
 }
 
-/// Takes in what another VM knows of requests under which endpoints crashed, and leaves what of it is new: only that is
-/// passed on.
+/// Merges another VM's records of requests under which endpoints crashed, and keeps in the message only the
+/// records that were new: only those are relayed.
 ///
-/// Each zone is told of a crash several times. While all that came was passed on, a burst of 36 crashes cost each of 300 VMs
-/// 36 kB a second for ten seconds, and 27 kB without that (`tests/quarantine_spread.rs`).
-fn take_in_crashes<P>(site: &Site<P>, w: &mut Message)
+/// Each zone receives the record of a crash several times. While all received records were relayed, a burst
+/// of 36 crashes cost each of 300 VMs 36 kB a second for ten seconds, and 27 kB without the repeated ones
+/// (`tests/quarantine_spread.rs`).
+fn merge_crashes<P>(site: &Site<P>, w: &mut Message)
 where
     P: Protocol,
 {
@@ -46,7 +47,8 @@
     let from = w.from.clone();
     w.crashes.retain(|r| view.merge_crashes(now, &from, r));
     let is_news = !w.crashes.is_empty();
-    // Who only has news to tell is not heard again: what it knew in the middle of a burst would stand for long.
+    // The digest of a message that carries only news isn't recorded. The next message of its sender may
+    // come late, and a digest from the middle of a burst would be kept for long.
     if w.scope != Scope::News
         && let Ok(address) = w.address.parse()
     {
@@ -66,8 +68,8 @@
     }
 }
 
-/// Tells whether what another VM said for its zone is to be passed on now. Sums are, from time to time: each VM of the zone gets
-/// a copy.
+/// Returns `true` if a message for another zone is to be relayed now. Zone summaries are relayed only at an
+/// interval, as each VM of the zone gets a copy.
 fn is_due<P>(site: &Site<P>, w: &Message) -> bool
 where
     P: Protocol,
@@ -77,16 +79,16 @@
     }
     let now = site.now();
     let mut view = site.view();
-    let pace = pace_of_sums(view.peers.neighbours().len());
+    let interval = summary_interval(view.peers.neighbours().len());
     let last = view.relayed_at.get(&(w.zone.clone(), w.part));
-    if last.is_some_and(|t| now.duration_since(*t) < pace) {
+    if last.is_some_and(|t| now.duration_since(*t) < interval) {
         return false;
     }
     view.relayed_at.insert((w.zone.clone(), w.part), now);
     true
 }
 
-fn take_in<P>(site: &Site<P>, w: Message)
+fn apply<P>(site: &Site<P>, w: Message)
 where
     P: Protocol,
 {
@@ -100,7 +102,7 @@
                 .peers
                 .upsert(w.from.clone(), zone.clone(), address, w.millicores)
         {
-            tracing::info!(vm = %w.from, %address, "a VM was heard of first from itself");
+            tracing::info!(vm = %w.from, %address, "learned of a VM from its own message");
         }
         view.update_vm_count(now, usize::from(w.vms_known));
         if let Some(r) = w.last_reader.filter(|r| r.vm != site.own_vm.as_str()) {
@@ -136,11 +138,11 @@
                     .receive_zone(now, zone, w.from.clone(), usize::from(w.vms));
                 let before = view.zone_parts.insert(w.zone.clone(), w.parts);
                 for part in 0..before.filter(|n| *n != w.parts).unwrap_or(0) {
-                    // An endpoint is in another part now, and would count twice.
-                    let former = zone_name(&w.zone, part);
+                    // An endpoint may be in another part now, and would be counted twice.
+                    let former = summary_source(&w.zone, part);
                     view.balance.receive(now, former, Vec::new());
                 }
-                let from = zone_name(&w.zone, w.part);
+                let from = summary_source(&w.zone, w.part);
                 view.balance.receive(now, from.clone(), taken);
                 if w.part == 0 {
                     view.demand.insert(from, (now, w.demand));
@@ -150,9 +152,9 @@
         }
         view.requested_loads
             .extend(w.wants.into_iter().map(|m| (m, now)));
-        // A zone that repeats what is known here says nothing new, but is heard all the same.
+        // A repeated notice of a zone changes nothing, but still counts as received.
         if let Some(notice) = w.lease
-            && view.candidacy.observe(now, heard(now, notice))
+            && view.candidacy.observe(now, to_notice(now, notice))
         {
             site.lease_free.notify_one();
         }
@@ -162,15 +164,16 @@
     }
     endpoint_signals::apply_rates(site, &w.from, &w.rates);
     endpoint_signals::apply_leaving(site, &w.from, &w.leaving);
-    // Since when the store is sound decides on removals among the changes.
+    // The time since which the store is healthy decides on removals among the changes, so it is applied
+    // before them.
     site.observe_peer(&w.from, w.positions, w.reading);
     for l in w.list {
         site.offer_list_changes(l);
     }
 }
 
-fn heard(now: Instant, w: LeaseNotice) -> Notice {
-    // What is on its way was said earlier, so the last order can only be longer ago than this says.
+fn to_notice(now: Instant, w: LeaseNotice) -> Notice {
+    // The message was on its way for a while, so the last order can only be longer ago than it says.
     let at = |ms: u32| {
         now.checked_sub(Duration::from_millis(u64::from(ms)))
             .unwrap_or(now)
@@ -183,14 +186,14 @@
     }
 }
 
-/// The name under which a part of a zone's sums is kept beside the messages of VMs.
-fn zone_name(zone: &str, part: u8) -> VmName {
-    VmName::from(format!("{ZONE_MARK}{zone}/{part}"))
+/// Returns the name under which a part of a zone's summary is stored beside the messages of VMs.
+fn summary_source(zone: &str, part: u8) -> VmName {
+    VmName::from(format!("{ZONE_PREFIX}{zone}/{part}"))
 }
 
-/// No VM's name begins with it.
-const ZONE_MARK: &str = "zone/";
+/// No VM's name begins with this prefix.
+const ZONE_PREFIX: &str = "zone/";
 
-pub(crate) fn is_zone(vm: &VmName) -> bool {
-    vm.as_str().starts_with(ZONE_MARK)
+pub(crate) fn is_zone_summary(vm: &VmName) -> bool {
+    vm.as_str().starts_with(ZONE_PREFIX)
 }
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -1,7 +1,7 @@
-//! What one VM says to the others, without the socket that it goes through.
+//! The messages that a VM sends to the others, without the socket.
 
 use crate::edge::{Feed, Protocol};
-use crate::receiver::is_zone;
+use crate::receiver::is_zone_summary;
 use crate::site::Site;
 use crate::site_view::SiteView;
 use crate::start;
@@ -23,147 +23,152 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often a VM sends inside its zone, and one for it to other zones: a tenth of the tightest objective
-/// of the kinds that run models. What is older than that costs worth: at 120 ms inside and 240 ms between
+/// How often a VM sends inside its zone, and the zone's leader to other zones: a tenth of the tightest
+/// objective of the services that run models. Older reports cost worth: at 120 ms inside and 240 ms between
 /// zones it was 0.02 to 0.04 on quiet days (`docs/design/system.md`).
-const EVERY: Duration = Duration::from_millis(80);
-/// The neighbours up to which it sends that often; with more of them it is slower in proportion, down to
-/// [`SLOWEST`], so that what a VM has to read stays bounded.
-const FEW: usize = 8;
-const SLOWEST: Duration = Duration::from_millis(240);
-/// How often at most it speaks between its times, when something has changed or a request waits.
+const INTERVAL: Duration = Duration::from_millis(80);
+/// The number of neighbours up to which a VM sends that often. With more neighbours the interval grows in
+/// proportion, up to [`SLOWEST_INTERVAL`], so that what a VM has to read stays bounded.
+const NEIGHBOURS_AT_FULL_RATE: usize = 8;
+const SLOWEST_INTERVAL: Duration = Duration::from_millis(240);
+/// The least time between a message and an additional one that is sent because something has changed or a
+/// request waits.
 const URGENT_EVERY: Duration = Duration::from_millis(15);
-/// The pause for each VM that listens, after which the whole message may go before its time.
-const EARLY_EACH: Duration = Duration::from_millis(8);
-/// The parts of the pace between which the time until a message is drawn.
-const OUT_OF_STEP: Range<f64> = 0.9..1.1;
-/// The slowest pace at which the sums of another zone are passed on inside a zone: they count for half as long again.
-const SLOWEST_SUMS: Duration = Duration::from_millis(1000);
-/// For how long changes of the list are repeated inside the zone; who misses them reads the store.
+/// The pause per listening VM after which a full update may be sent before its time.
+const EARLY_PAUSE_PER_LISTENER: Duration = Duration::from_millis(8);
+/// The range of the random factor on the interval until the next message.
+const INTERVAL_JITTER: Range<f64> = 0.9..1.1;
+/// The longest interval at which the summary of another zone is relayed inside a zone. Summaries are valid
+/// for half as long again.
+const SLOWEST_SUMMARY_INTERVAL: Duration = Duration::from_millis(1000);
+/// How long changes of the list are repeated inside the zone. A VM that misses them reads the store.
 const LIST_REPEATED_FOR: Duration = Duration::from_millis(250);
-/// For how long VMs are told of a start of an endpoint that is gone, or leaves: some messages, some of which may be lost.
-pub(crate) const GONE_SAID_FOR: Duration = Duration::from_millis(1000);
-/// How many of them go into one message: a fifth of the endpoints of the largest site.
+/// How long messages name an instance of an endpoint that is gone or leaving: some messages in a row may be
+/// lost.
+pub(crate) const GONE_SENT_FOR: Duration = Duration::from_millis(1000);
+/// The largest number of such instances in one message: a fifth of the endpoints of the largest site.
 const MAX_GONE: usize = 64;
-/// How many changes of the list go into one message.
+/// The largest number of changes of the list in one message.
 const MAX_LISTED: usize = 64;
-/// For how long VMs are told of a change of the limit that an endpoint names.
-const RATE_SAID_FOR: Duration = Duration::from_millis(1000);
-/// How often all limits are said: as long as a VM that has started again may send to an endpoint without knowing of its limit.
-const LIMITS_SAID_EVERY: Duration = Duration::from_millis(1000);
-/// How many endpoints a part of a zone's sums names, about.
+/// How long messages carry a change of an endpoint's rate limit.
+const RATE_SENT_FOR: Duration = Duration::from_millis(1000);
+/// How often all limits are sent. For up to this time a restarted VM may send to an endpoint without
+/// knowing its limit.
+const LIMITS_SENT_EVERY: Duration = Duration::from_millis(1000);
+/// About how many endpoints one part of a zone summary names.
 const MAX_TAKEN: usize = 128;
-/// How many limits go into one message.
+/// The largest number of limits in one message.
 const MAX_RATES: usize = 64;
 
-/// Gives how often a VM with so many neighbours speaks.
-pub(crate) fn pace(neighbours: usize) -> Duration {
-    slowed(neighbours).min(SLOWEST)
+/// Returns the interval between the messages of a VM with this number of neighbours.
+pub(crate) fn interval(neighbours: usize) -> Duration {
+    interval_for(neighbours).min(SLOWEST_INTERVAL)
 }
 
-/// Gives how often a VM with so many neighbours passes on what another zone says: each of them gets a copy, and the sums of a zone count for
-/// longer than this.
-pub(crate) fn pace_of_sums(neighbours: usize) -> Duration {
-    slowed(neighbours).min(SLOWEST_SUMS)
+/// Returns the interval at which a VM with this number of neighbours relays the summary of another zone.
+/// Each neighbour gets a copy, and summaries are valid for longer than this.
+pub(crate) fn summary_interval(neighbours: usize) -> Duration {
+    interval_for(neighbours).min(SLOWEST_SUMMARY_INTERVAL)
 }
 
-fn slowed(neighbours: usize) -> Duration {
+fn interval_for(neighbours: usize) -> Duration {
     #[expect(clippy::cast_precision_loss, reason = "a zone has few VMs")]
-    let slower = neighbours as f64 / FEW as f64;
-    EVERY.mul_f64(slower.max(1.0))
+    let slower = neighbours as f64 / NEIGHBOURS_AT_FULL_RATE as f64;
+    INTERVAL.mul_f64(slower.max(1.0))
 }
 
-/// What makes a VM speak.
+/// The reason for which a VM sends a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Occasion {
+enum Trigger {
     Due,
     Changed,
-    Wanted,
+    LoadRequested,
 }
 
-/// A message and where it goes.
+/// A message and the addresses to which it is sent.
 pub type Outgoing = (Message, Vec<SocketAddr>);
 
-/// What one VM says, without the socket that it goes through.
+/// Builds the messages of one VM, without the socket.
 #[derive(Debug)]
 pub struct GossipSender<P> {
     site: Arc<Site<P>>,
-    /// Tells this start of the process from others.
+    /// A random number that distinguishes this run of the process from others.
     start: u64,
     number: u64,
     seeds: Vec<SocketAddr>,
-    /// When the zone's sums were said last.
-    summed: Instant,
-    /// When the next whole message is due.
+    /// When the zone summary was last sent.
+    summary_sent: Instant,
+    /// When the next full update is due.
     due: Instant,
-    /// When this VM spoke last, and when it said all.
-    spoke: Instant,
-    said_all: Instant,
-    /// When all limits of endpoints were said last, and how often.
-    limits_said: Instant,
-    turn: usize,
+    /// When this VM last sent any message, and when it last sent a full update.
+    last_sent: Instant,
+    full_update_sent: Instant,
+    /// When all limits of endpoints were last sent, and how many times.
+    limits_sent: Instant,
+    limit_round: usize,
 }
 
 impl<P> GossipSender<P>
 where
     P: Protocol,
 {
-    /// Makes the messages of a VM that has said nothing yet.
+    /// Creates the sender of a VM that hasn't sent anything yet.
     #[must_use]
     pub fn new(site: Arc<Site<P>>) -> Self {
         Self {
             start: rand::random(),
             number: 0,
             seeds: start::seed_addresses(&site.settings.load()),
-            summed: site.now(),
+            summary_sent: site.now(),
             due: site.now(),
-            spoke: site.now(),
-            said_all: site.now(),
-            limits_said: site.now(),
-            turn: 0,
+            last_sent: site.now(),
+            full_update_sent: site.now(),
+            limits_sent: site.now(),
+            limit_round: 0,
             site,
         }
     }
 
-    /// Waits until there is something to say, and gives it. Tells the controller, if it is on this VM, of what is wanted.
-    pub async fn next(&mut self, wanted: &Notify) -> Vec<Outgoing> {
+    /// Waits until there is something to send, and returns it. Wakes the controller, if it runs on this VM,
+    /// when a load is requested or something changed.
+    pub async fn next(&mut self, wake_controller: &Notify) -> Vec<Outgoing> {
         let site = Arc::clone(&self.site);
-        let occasion = tokio::select! {
+        let trigger = tokio::select! {
             biased;
-            () = site.clock.sleep_until(self.due) => Occasion::Due,
-            () = site.urgent_update.notified() => Occasion::Changed,
-            () = site.load_requested.notified() => Occasion::Wanted,
+            () = site.clock.sleep_until(self.due) => Trigger::Due,
+            () = site.urgent_update.notified() => Trigger::Changed,
+            () = site.load_requested.notified() => Trigger::LoadRequested,
         };
-        if occasion != Occasion::Due {
-            wanted.notify_one();
-            site.clock.sleep_until(self.spoke + URGENT_EVERY).await;
+        if trigger != Trigger::Due {
+            wake_controller.notify_one();
+            site.clock.sleep_until(self.last_sent + URGENT_EVERY).await;
         }
         let now = site.now();
-        self.spoke = now;
-        match occasion {
-            Occasion::Due => self.full_update(now),
-            _ if self.may_say_all(now) => self.full_update(now),
-            Occasion::Changed => self.changes(now),
-            Occasion::Wanted => self.wants(now).into_iter().collect(),
+        self.last_sent = now;
+        match trigger {
+            Trigger::Due => self.full_update(now),
+            _ if self.may_send_full_update(now) => self.full_update(now),
+            Trigger::Changed => self.changes_message(now),
+            Trigger::LoadRequested => self.loads_message(now).into_iter().collect(),
         }
     }
 
-    /// Tells whether the whole message may go before its time, when there is something to say anyway: to so many that listen it
-    /// goes the more seldom, so that it costs as much in each zone.
-    fn may_say_all(&self, now: Instant) -> bool {
+    /// Returns `true` if a full update may be sent before its time, together with an urgent message. The
+    /// more VMs listen, the rarer this is, so that the cost is the same in each zone.
+    fn may_send_full_update(&self, now: Instant) -> bool {
         let listeners = self.site.view().peers.responsive_neighbours(now).len();
-        let pause = EARLY_EACH * u32::try_from(listeners).unwrap_or(u32::MAX);
-        listeners > 0 && now.saturating_duration_since(self.said_all) >= pause
+        let pause = EARLY_PAUSE_PER_LISTENER * u32::try_from(listeners).unwrap_or(u32::MAX);
+        listeners > 0 && now.saturating_duration_since(self.full_update_sent) >= pause
     }
 
-    /// Gives all that this VM says from time to time, and to whom.
+    /// Returns the messages that this VM sends at its regular interval, with their targets.
     pub fn full_update(&mut self, now: Instant) -> Vec<Outgoing> {
-        self.said_all = now;
+        self.full_update_sent = now;
         let site = Arc::clone(&self.site);
         let mut view = site.view();
         let view = &mut *view;
-        let pace = pace(view.peers.neighbours().len());
-        self.due = now + pace.mul_f64(rand::random_range(OUT_OF_STEP));
+        let interval = interval(view.peers.neighbours().len());
+        self.due = now + interval.mul_f64(rand::random_range(INTERVAL_JITTER));
         let told = view.quarantine.take_batch(now);
         let mut own = self.own(now, view, told.own_zone);
         own.rates = self.rates(now, view);
@@ -176,24 +181,26 @@
         if view.peers.known_vms() == 1 {
             to.clone_from(&self.seeds);
         }
-        let mut outgoing = abroad(&own, now, view, told.other_zones);
-        // The pause is drawn anew each time: measured by the whole pace, every second message would come too early for sums.
-        let is_due = now.duration_since(self.summed) >= pace.mul_f64(OUT_OF_STEP.start);
+        let mut outgoing = other_zone_messages(&own, now, view, told.other_zones);
+        // The interval is drawn anew each time. Compared with the undrawn interval, every second message
+        // would come too early for a summary.
+        let is_due =
+            now.duration_since(self.summary_sent) >= interval.mul_f64(INTERVAL_JITTER.start);
         if is_due && view.peers.is_zone_leader(now) {
-            self.summed = now;
+            self.summary_sent = now;
             let targets = view.peers.zone_targets(now);
-            for part in sums(&own, now, view) {
+            for part in zone_summary(&own, now, view) {
                 outgoing.push((part, targets.clone()));
             }
         }
-        outgoing.extend(list_news(&own, view, &to));
+        outgoing.extend(list_messages(&own, view, &to));
         outgoing.push((own, to));
         outgoing
     }
 
-    /// Gives what has changed and can't wait for the next whole message, and to whom. What its requests take at the endpoints and
-    /// what its callers ask for, which is most of a message, isn't said again.
-    fn changes(&mut self, now: Instant) -> Vec<Outgoing> {
+    /// Returns what has changed and can't wait for the next full update, with the targets. Usage of
+    /// endpoints and demand, which are most of a message, aren't repeated.
+    fn changes_message(&mut self, now: Instant) -> Vec<Outgoing> {
         let site = Arc::clone(&self.site);
         let mut view = site.view();
         let view = &mut *view;
@@ -202,8 +209,8 @@
         own.rates = self.rates(now, view);
         own.reports = view.reports.next_batch();
         let to = view.peers.zone_recipients(now);
-        let mut outgoing = abroad(&own, now, view, told.other_zones);
-        outgoing.extend(list_news(&own, view, &to));
+        let mut outgoing = other_zone_messages(&own, now, view, told.other_zones);
+        outgoing.extend(list_messages(&own, view, &to));
         let change = Message {
             scope: Scope::Change,
             taken: Vec::new(),
@@ -215,8 +222,9 @@
         outgoing
     }
 
-    /// Gives what requests wait for that isn't loaded, for the controller. While none is known the next whole message says it.
-    fn wants(&mut self, now: Instant) -> Option<Outgoing> {
+    /// Returns the requested loads for the controller. While no controller is known, they go into the next
+    /// full update.
+    fn loads_message(&mut self, now: Instant) -> Option<Outgoing> {
         let site = Arc::clone(&self.site);
         let mut view = site.view();
         let view = &mut *view;
@@ -230,42 +238,43 @@
             forward: false,
             wants,
             lease: None,
-            ..news(&own)
+            ..controller_news(&own)
         };
         Some((message, vec![to]))
     }
 
-    /// Gives what is said of the limits that endpoints name: those that are news, and from time to time all.
+    /// Returns the limits of endpoints to send: those that changed recently, and at a longer interval all.
     fn rates(&mut self, now: Instant, view: &SiteView) -> Vec<RateSaid> {
-        let wishes = &view.balance.backpressure;
-        let words = if now.duration_since(self.limits_said) >= LIMITS_SAID_EVERY {
-            self.limits_said = now;
-            self.some_in_turn(wishes.active_limits().collect())
+        let backpressure = &view.balance.backpressure;
+        let limits = if now.duration_since(self.limits_sent) >= LIMITS_SENT_EVERY {
+            self.limits_sent = now;
+            self.rotate_limits(backpressure.active_limits().collect())
         } else {
-            wishes
-                .recent_changes(now, RATE_SAID_FOR)
+            backpressure
+                
+                .recent_changes(now, RATE_SENT_FOR)
                 .take(MAX_RATES)
                 .collect()
         };
-        let said = words.into_iter().filter_map(|(k, w)| {
+        let rates = limits.into_iter().filter_map(|(k, w)| {
             let instance = view.roster.get(k)?.instance.clone();
             Some(RateSaid::at(now, instance, w))
         });
-        said.collect()
+        rates.collect()
     }
 
-    /// Gives as many of some words as go into a message, others the next time.
-    fn some_in_turn(
+    /// Returns as many limits as fit into a message, starting with others the next time.
+    fn rotate_limits(
         &mut self,
-        mut words: Vec<(EndpointKey, RateObservation)>,
+        mut limits: Vec<(EndpointKey, RateObservation)>,
     ) -> Vec<(EndpointKey, RateObservation)> {
-        self.turn += 1;
-        if words.len() > MAX_RATES {
-            let first = self.turn * MAX_RATES % words.len();
-            words.rotate_left(first);
-            words.truncate(MAX_RATES);
+        self.limit_round += 1;
+        if limits.len() > MAX_RATES {
+            let first = self.limit_round * MAX_RATES % limits.len();
+            limits.rotate_left(first);
+            limits.truncate(MAX_RATES);
         }
-        words
+        limits
     }
 
     fn own(&mut self, now: Instant, view: &mut SiteView, crashes: Vec<CrashRecord>) -> Message {
@@ -290,8 +299,8 @@
             number: self.number,
             taken: view.balance.own().filter_map(named).collect(),
             unreached: unreached(now, view),
-            gone: fresh_starts(now, &view.gone),
-            leaving: fresh_starts(now, &view.leaving),
+            gone: recent_instances(now, &view.gone),
+            leaving: recent_instances(now, &view.leaving),
             demand: rates(view.arrivals.rates(now)),
             wants: Vec::new(),
             reports: Vec::new(),
@@ -312,14 +321,14 @@
     }
 }
 
-/// Gives where the VM that gives orders listens, if another one is heard to.
+/// Returns the address of the VM that gives orders, if that is another VM and known.
 fn controller(now: Instant, view: &SiteView) -> Option<SocketAddr> {
     let holder = view.candidacy.holder(now)?;
     view.peers.address(holder)
 }
 
-/// Gives what other zones are told of as soon as it is known.
-fn abroad(
+/// Returns the messages that other zones get as soon as something is known.
+fn other_zone_messages(
     own: &Message,
     now: Instant,
     view: &mut SiteView,
@@ -327,7 +336,7 @@
 ) -> Vec<Outgoing> {
     let mut outgoing = Vec::new();
     if !own.reports.is_empty() {
-        outgoing.push((news(own), view.peers.zone_targets(now)));
+        outgoing.push((controller_news(own), view.peers.zone_targets(now)));
     }
     if !crashed.is_empty() {
         outgoing.push((crashes(own, crashed), view.peers.next_in_other_zones()));
@@ -335,22 +344,23 @@
     outgoing
 }
 
-/// Gives what the zone is told of changes of the list.
-fn list_news(own: &Message, view: &SiteView, to: &[SocketAddr]) -> Vec<Outgoing> {
-    let parts = list_parts(view).into_iter();
-    parts.map(|l| (list_part(own, l), to.to_vec())).collect()
+/// Returns the messages with changes of the list for the zone.
+fn list_messages(own: &Message, view: &SiteView, to: &[SocketAddr]) -> Vec<Outgoing> {
+    let parts = split_list_changes(view).into_iter();
+    parts.map(|l| (list_message(own, l), to.to_vec())).collect()
 }
 
-/// Gives the starts of endpoints that were found lately to be gone, or to leave. In a message for other zones they are those of
-/// all VMs of this one, since what one VM finds the others take in as found.
-fn fresh_starts(now: Instant, found: &BTreeMap<Instance, Instant>) -> Vec<Instance> {
+/// Returns the instances of endpoints that were recently found to be gone or leaving. In a message for
+/// other zones these are those of all VMs of this zone, since each VM records what another one found as its
+/// own finding.
+fn recent_instances(now: Instant, found: &BTreeMap<Instance, Instant>) -> Vec<Instance> {
     let fresh = found
         .iter()
-        .filter(|(_, at)| now.duration_since(**at) < GONE_SAID_FOR);
+        .filter(|(_, at)| now.duration_since(**at) < GONE_SENT_FOR);
     fresh.map(|(i, _)| i.clone()).take(MAX_GONE).collect()
 }
 
-/// Gives who read the configuration last, of this VM and all that it has heard of.
+/// Returns the VM that read the configuration last, of this VM and all that it knows of.
 fn last_reader(now: Instant, own_vm: &SmolStr, view: &SiteView) -> Option<LastReader> {
     let own = view.feed_reads.last_read(Feed::Configuration);
     let other = view.confirmation.reader();
@@ -371,8 +381,8 @@
     rates.into_iter().map(narrow).collect()
 }
 
-/// Gives what is passed on of the list, in parts that each fit in a message.
-fn list_parts(view: &SiteView) -> Vec<Vec<ListChanges>> {
+/// Returns the changes of the list to send, in parts that each fit in a message.
+fn split_list_changes(view: &SiteView) -> Vec<Vec<ListChanges>> {
     let mut out: Vec<Vec<ListChanges>> = Vec::new();
     let mut room = 0;
     for (_, l) in &view.recent_list_changes {
@@ -389,29 +399,29 @@
     out
 }
 
-/// Makes a message that only carries changes of the list, for the VMs of the zone.
-fn list_part(own: &Message, list: Vec<ListChanges>) -> Message {
+/// Builds a message for the VMs of the zone that carries only changes of the list.
+fn list_message(own: &Message, list: Vec<ListChanges>) -> Message {
     Message {
         forward: false,
         reports: Vec::new(),
         lease: None,
         list,
-        ..news(own)
+        ..controller_news(own)
     }
 }
 
-/// Makes a message that only carries under which requests endpoints crashed.
+/// Builds a message that carries only records of requests under which endpoints crashed.
 fn crashes(own: &Message, crashes: Vec<CrashRecord>) -> Message {
     Message {
         crashes,
         reports: Vec::new(),
         lease: None,
-        ..news(own)
+        ..controller_news(own)
     }
 }
 
-/// Makes a message that only carries what the controller did.
-fn news(own: &Message) -> Message {
+/// Builds a message that carries only what the controller did.
+fn controller_news(own: &Message) -> Message {
     Message {
         scope: Scope::News,
         forward: true,
@@ -429,9 +439,9 @@
     }
 }
 
-/// Makes the messages of a zone: the sums over its VMs, in as many parts as it takes for each to fit in a datagram.
-fn sums(own: &Message, now: Instant, view: &SiteView) -> Vec<Message> {
-    let here = |vm: &VmName| !is_zone(vm);
+/// Builds the summary of a zone over its VMs, in as many parts as it takes for each to fit in a datagram.
+fn zone_summary(own: &Message, now: Instant, view: &SiteView) -> Vec<Message> {
+    let here = |vm: &VmName| !is_zone_summary(vm);
     let fresh = |at: &Instant| now.duration_since(*at) < MESSAGE_LIFE;
     let mut taken: BTreeMap<Instance, Taken> = own.taken.iter().cloned().collect();
     for (instance, t) in view
@@ -459,14 +469,14 @@
         rates: own.rates.clone(),
         reports: Vec::new(),
         lease: zone_notice(now, view),
-        ..news(own)
+        ..controller_news(own)
     };
-    in_parts(&whole, taken.into_iter().collect())
+    split_summary(&whole, taken.into_iter().collect())
 }
 
-/// Divides what a zone has at the endpoints among as many messages as it takes. An endpoint is always in the same one as long as
-/// their number stays, so that each replaces what the one before it said.
-fn in_parts(whole: &Message, taken: Vec<(Instance, Taken)>) -> Vec<Message> {
+/// Splits a zone's usage of endpoints among as many messages as it takes. An endpoint is always in the same
+/// part as long as the number of parts stays, so that each part replaces the former one.
+fn split_summary(whole: &Message, taken: Vec<(Instance, Taken)>) -> Vec<Message> {
     let parts = taken.len().div_ceil(MAX_TAKEN).max(1).next_power_of_two();
     let mut rows = vec![Vec::new(); parts];
     for row in taken {
@@ -478,7 +488,7 @@
         let first = if part == 0 {
             whole.clone()
         } else {
-            rest(whole)
+            usage_only(whole)
         };
         Message {
             taken,
@@ -490,8 +500,8 @@
     messages.collect()
 }
 
-/// Makes a further part of a zone's sums, which says nothing else.
-fn rest(whole: &Message) -> Message {
+/// Builds a further part of a zone summary, which carries only usage.
+fn usage_only(whole: &Message) -> Message {
     Message {
         demand: Vec::new(),
         gone: Vec::new(),
@@ -502,20 +512,20 @@
     }
 }
 
-/// Gives what this VM says of the lease, if it holds it or has just resigned.
+/// Returns this VM's notice about the lease, if it holds the lease or has just resigned.
 fn own_notice(now: Instant, view: &SiteView) -> Option<LeaseNotice> {
     let (notice, until) = view.lease_notice.as_ref()?;
-    (now < *until).then(|| said(now, notice))
+    (now < *until).then(|| lease_notice(now, notice))
 }
 
-/// Gives what a VM of this zone says of the lease, for the other zones.
+/// Returns the notice of a VM of this zone about the lease, for the other zones.
 fn zone_notice(now: Instant, view: &SiteView) -> Option<LeaseNotice> {
     let heard = view.candidacy.recent_notice(now);
     let here = heard.filter(|w| view.peers.is_in_own_zone(&w.vm));
-    here.map(|w| said(now, w))
+    here.map(|w| lease_notice(now, w))
 }
 
-fn said(now: Instant, w: &Notice) -> LeaseNotice {
+fn lease_notice(now: Instant, w: &Notice) -> LeaseNotice {
     let ago = |t: Instant| u32::try_from(now.duration_since(t).as_millis()).unwrap_or(u32::MAX);
     LeaseNotice {
         vm: w.vm.clone(),
