--- a/crates/limehollow-node/src/traffic.rs
+++ b/crates/limehollow-node/src/traffic.rs
@@ -1,4 +1,5 @@
-//! What VMs say to each other, counted by kind: what grows faster than the site shows here first.
+//! Counts of the datagrams between VMs by kind. A kind of traffic that grows faster than the site shows
+//! here first.
 
 use crate::counting_store;
 use crate::edge::Protocol;
@@ -12,10 +13,10 @@
 
 const OWN: &str = "a VM's own";
 const CHANGES: &str = "changes of a VM's own";
-const SUMS: &str = "sums of a zone";
-const SUMS_ON: &str = "sums of a zone, passed on";
+const SUMMARY: &str = "sums of a zone";
+const SUMMARY_RELAYED: &str = "sums of a zone, passed on";
 const NEWS: &str = "news";
-const NEWS_ON: &str = "news, passed on";
+const NEWS_RELAYED: &str = "news, passed on";
 const CONFIGURATION: &str = "question: configuration";
 const START: &str = "question: start";
 const TOKENS: &str = "question: tokens";
@@ -27,10 +28,10 @@
 const KINDS: [&str; 12] = [
     OWN,
     CHANGES,
-    SUMS,
-    SUMS_ON,
+    SUMMARY,
+    SUMMARY_RELAYED,
     NEWS,
-    NEWS_ON,
+    NEWS_RELAYED,
     CONFIGURATION,
     START,
     TOKENS,
@@ -38,28 +39,34 @@
     EARNINGS,
     ANSWER,
 ];
-/// How often a line says what was sent and received so far.
-const SAY_EVERY: Duration = Duration::from_secs(10);
+/// How often the totals are logged.
+const LOG_TOTALS_EVERY: Duration = Duration::from_secs(10);
 
-/// How a datagram goes.
+/// The direction of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// This VM sends it.
+    /// This VM sends the datagram.
     Sent,
-    /// It came from another VM.
+    /// The datagram came from another VM.
     Received,
 }
 
-/// Counts a datagram of so many bytes, which goes to so many VMs.
-pub(crate) fn count(metrics: &Metrics, way: Direction, d: &Datagram, bytes: usize, copies: usize) {
+/// Counts a datagram of `bytes` bytes that is sent to `copies` VMs, or received.
+pub(crate) fn count(
+    metrics: &Metrics,
+    direction: Direction,
+    d: &Datagram,
+    bytes: usize,
+    copies: usize,
+) {
     let by = DatagramLabels {
         kind: kind(d),
-        way: match way {
+        way: match direction {
             Direction::Sent => "sent",
             Direction::Received => "received",
         },
     };
-    let (bytes, copies) = (whole(bytes), whole(copies));
+    let (bytes, copies) = (to_u64(bytes), to_u64(copies));
     metrics.datagrams.get_or_create(&by).inc_by(copies);
     metrics
         .datagram_bytes
@@ -67,7 +74,7 @@
         .inc_by(bytes * copies);
 }
 
-/// Counts copies of a datagram that were not sent.
+/// Counts copies of a datagram that were not sent because the budget didn't allow it.
 pub(crate) fn count_held_back(metrics: &Metrics, d: &Datagram, copies: usize) {
     if copies > 0 {
         let by = DatagramLabels {
@@ -77,15 +84,15 @@
         metrics
             .datagrams_held_back
             .get_or_create(&by)
-            .inc_by(whole(copies));
+            .inc_by(to_u64(copies));
     }
 }
 
-fn whole(n: usize) -> u64 {
+fn to_u64(n: usize) -> u64 {
     u64::try_from(n).unwrap_or(u64::MAX)
 }
 
-/// Tells how much a datagram matters.
+/// Returns the urgency of a datagram for the send budget.
 pub(crate) fn urgency(d: &Datagram) -> Urgency {
     match d {
         Datagram::Query(_) | Datagram::Answer(_) => Urgency::Answer,
@@ -97,7 +104,7 @@
     }
 }
 
-/// Names what a datagram is.
+/// Returns the kind of a datagram, as a label of metrics.
 pub(crate) fn kind(d: &Datagram) -> &'static str {
     match d {
         Datagram::Message(m) => message_kind(m),
@@ -116,28 +123,29 @@
     match (m.scope, m.forward) {
         (Scope::Vm, _) => OWN,
         (Scope::Change, _) => CHANGES,
-        (Scope::Zone, true) => SUMS,
-        (Scope::Zone, false) => SUMS_ON,
+        (Scope::Zone, true) => SUMMARY,
+        (Scope::Zone, false) => SUMMARY_RELAYED,
         (Scope::News, true) => NEWS,
-        (Scope::News, false) => NEWS_ON,
+        (Scope::News, false) => NEWS_RELAYED,
     }
 }
 
-/// Says from time to time what was sent, received and asked of the store so far, for as long as the process lives.
+/// Logs at an interval the totals of what was sent, received and requested from the store, for as long as
+/// the process lives.
 pub async fn log_totals<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
 {
     let mut due = site.now();
     loop {
-        due += SAY_EVERY;
+        due += LOG_TOTALS_EVERY;
         site.clock.sleep_until(due).await;
         let (bytes, calls) = (totals(&site.metrics), counting_store::totals(&site.metrics));
         tracing::info!(?bytes, ?calls, "traffic since the start");
     }
 }
 
-/// Gives the bytes of each kind so far, sent and received.
+/// Returns the total bytes of each kind, sent and received.
 fn totals(metrics: &Metrics) -> BTreeMap<String, u64> {
     let mut out = BTreeMap::new();
     for way in ["sent", "received"] {
