--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -1,9 +1,10 @@
-//! How a VM that starts gets to know the site, when all others may be starting as well.
+//! How a VM that starts fetches the site's state, when all other VMs may be starting as well.
 //!
-//! The VMs that the settings name read the platform's store. Each other VM asks one of them from whom it gets the state
-//! ([`limehollow::start_tree`]) and takes it from there; the one that was asked makes it known to the rest, and writes all that asked
-//! it into the store with one call. So what the store is asked at a start doesn't grow with the VMs. Where none of the named VMs answers, the
-//! VM reads the store itself, at a moment of its own.
+//! The VMs that the settings name as seeds read the platform's store. Each other VM asks a seed for its
+//! parent, the VM from which it gets the state ([`limehollow::start_tree`]), and fetches the state there.
+//! The seed makes the new VM known to the others, and writes all VMs that asked it into the store with one
+//! call. So the number of store calls at a start doesn't grow with the number of VMs. If no seed answers,
+//! the VM reads the store itself, after a random delay.
 
 use crate::edge::{Feed, PeerStates, Protocol, Store, StoreError, Vm};
 use crate::follower::{Follower, PeerState};
@@ -20,29 +21,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long an answer from whom to get the state is waited for: all VMs may ask at once.
+/// How long to wait for a seed's answer that names the parent: all VMs may ask at once.
 const ANSWER_WITHIN: Duration = Duration::from_millis(250);
-/// The pause after all named VMs were silent; it doubles.
+/// The first pause after all seeds were silent; it doubles each time.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// How often a VM that hasn't got the state yet is asked for it.
+/// How often a parent that doesn't have the state yet is asked for it.
 const POLL_EVERY: Duration = Duration::from_millis(150);
-/// How long a VM is waited for that hasn't got the state yet: it may wait for its own parent.
-const GIVER_WITHIN: Duration = Duration::from_millis(2500);
-/// How often all named VMs are found silent before the store is read: they may be starting as well.
+/// How long to wait for a parent that doesn't have the state yet: it may wait for its own parent.
+const PARENT_WITHIN: Duration = Duration::from_millis(2500);
+/// How many rounds in which all seeds are silent pass before the store is read: the seeds may be starting
+/// as well.
 const SILENT_ROUNDS: u32 = 2;
-/// How long a VM waits for named VMs that answer and have no state yet before it reads the store.
+/// How long a VM waits for seeds that answer but have no state yet before it reads the store.
 const START_WITHIN: Duration = Duration::from_secs(6);
-/// Over which time VMs spread their first reading of the store that could get the state from nobody.
+/// The time over which VMs that couldn't get the state from another VM spread their first read of the
+/// store.
 const READ_SPREAD: Duration = Duration::from_secs(2);
-/// How long VMs that asked are gathered before they are written into the store together.
-const GATHER: Duration = Duration::from_millis(250);
-/// The pause after VMs could not be written into the store; it doubles, up to the longest.
-const WRITE_AGAIN_AFTER: Duration = Duration::from_millis(500);
-/// After how long a VM that the store doesn't show yet makes itself known; it doubles, up to the longest.
+/// How long VMs that asked for a parent are collected before they are written into the store together.
+const COLLECT_TIME: Duration = Duration::from_millis(250);
+/// The first pause after VMs couldn't be written into the store. It doubles up to the longest pause.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// How long a VM that the store doesn't list waits before it announces itself. The time doubles up to the
+/// longest pause.
 const ANNOUNCE_AFTER: Duration = Duration::from_secs(8);
 const LONGEST_ANNOUNCE_PAUSE: Duration = Duration::from_secs(60);
 
-/// Gets to know the site. Until then this VM doesn't stand for the lease: it knows nobody who may hold it.
+/// Fetches the site's state. Until then this VM doesn't apply for the lease, as it doesn't know who may
+/// hold it.
 pub async fn start<P, T>(site: &Arc<Site<P>>, states: &T)
 where
     P: Protocol,
@@ -58,94 +63,96 @@
     }
 }
 
-/// Gets the site's state from another VM, if one has it; otherwise what follows reads the store.
+/// Fetches the site's state from another VM, if one has it. Otherwise the followers read the store
+/// afterwards.
 async fn get_state<P, T>(site: &Arc<Site<P>>, states: &T)
 where
     P: Protocol,
     T: PeerStates,
 {
     let began = site.now();
-    let mut named = seed_addresses(&site.settings.load());
-    if named.is_empty() || is_named(&site.settings.load()) {
+    let mut seeds = seed_addresses(&site.settings.load());
+    if seeds.is_empty() || is_seed(&site.settings.load()) {
         return;
     }
-    named.shuffle(&mut rand::rng());
+    seeds.shuffle(&mut rand::rng());
     let mut pause = FIRST_PAUSE;
     let mut silent = 0;
     while silent < SILENT_ROUNDS && site.now() < began + START_WITHIN {
         silent += 1;
-        for seed in &named {
-            match ask(site, states, *seed).await {
-                Asked::Given => {
+        for seed in &seeds {
+            match fetch_from_parent(site, states, *seed).await {
+                StateOutcome::Fetched => {
                     let took_ms = site.now().saturating_duration_since(began).as_millis();
                     tracing::info!(took_ms, "the site's state is there");
                     return;
                 }
-                Asked::NotYet => silent = 0,
-                Asked::Silent => {}
+                StateOutcome::NotYet => silent = 0,
+                StateOutcome::Silent => {}
             }
         }
         sleep(jittered(pause)).await;
         pause *= 2;
     }
-    tracing::warn!("no VM that the settings name hands its state over; the store is read");
+    tracing::warn!("no seed handed over its state; reading the store");
     sleep(READ_SPREAD.mul_f64(rand::random())).await;
 }
 
-/// Gives where the datagrams of the VMs arrive that the settings name, other than this one's.
+/// Returns the addresses for datagrams of the seeds that the settings name, without this VM.
 pub(crate) fn seed_addresses(settings: &NodeSettings) -> Vec<SocketAddr> {
-    let others = all_named(settings).filter(|ip| *ip != settings.ip);
+    let others = all_seeds(settings).filter(|ip| *ip != settings.ip);
     others
         .map(|ip| SocketAddr::new(ip, settings.peer_port))
         .collect()
 }
 
-fn is_named(settings: &NodeSettings) -> bool {
-    all_named(settings).any(|ip| ip == settings.ip)
+fn is_seed(settings: &NodeSettings) -> bool {
+    all_seeds(settings).any(|ip| ip == settings.ip)
 }
 
-fn all_named(settings: &NodeSettings) -> impl Iterator<Item = IpAddr> {
+fn all_seeds(settings: &NodeSettings) -> impl Iterator<Item = IpAddr> {
     let addresses = settings.seeds.iter();
     addresses.filter_map(|s| Some(s.parse::<SocketAddr>().ok()?.ip()))
 }
 
-/// Draws a time around this one, so that those that failed together don't come back together.
+/// Returns a random time around `pause`, so that VMs that failed together don't retry together.
 pub(crate) fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.5..1.5))
 }
 
-/// What came of asking a VM for the state.
+/// The outcome of asking a seed for the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    /// It is there.
-    Given,
-    /// The VM answers, and the state couldn't be had yet.
+enum StateOutcome {
+    /// The state was fetched.
+    Fetched,
+    /// The seed answers, but the state couldn't be fetched yet.
     NotYet,
-    /// The VM doesn't answer.
+    /// The seed doesn't answer.
     Silent,
 }
 
-/// Asks a VM from whom to get the state, and gets it there.
-async fn ask<P, T>(site: &Arc<Site<P>>, states: &T, vm: SocketAddr) -> Asked
+/// Asks a VM for the parent of this VM, and fetches the state from the parent.
+async fn fetch_from_parent<P, T>(site: &Arc<Site<P>>, states: &T, vm: SocketAddr) -> StateOutcome
 where
     P: Protocol,
     T: PeerStates,
 {
-    let body = QueryBody::Start(introduction(&myself(site)));
+    let body = QueryBody::Start(introduction(&own_vm(site)));
     let reply = site.queries.ask(&site.clock, vm, body, ANSWER_WITHIN);
-    let Some(Reply::Giver(giver)) = reply.await else {
-        return Asked::Silent;
+    let Some(Reply::Giver(parent)) = reply.await else {
+        return StateOutcome::Silent;
     };
-    let giver = giver.unwrap_or(vm);
-    let Some(state) = wait_for_state(site, states, giver).await else {
-        return Asked::NotYet;
+    let parent = parent.unwrap_or(vm);
+    let Some(state) = wait_for_state(site, states, parent).await else {
+        return StateOutcome::NotYet;
     };
-    take_in(site, states, giver, &state);
-    Asked::Given
+    apply_state(site, states, parent, &state);
+    StateOutcome::Fetched
 }
 
-/// Gets the state of a VM that has read the list further than this one, or of one that got it there, as at a start: all VMs of the zone
-/// may miss the same at once. Gives whether the list is further than before.
+/// Fetches the state of a VM that has read the list further, or of a VM that got the state from it, as at a
+/// start: all VMs of the zone may miss the same changes at once. Returns `true` if the list is further than
+/// before.
 pub(crate) async fn catch_up<P, T>(site: &Arc<Site<P>>, states: &T) -> bool
 where
     P: Protocol,
@@ -159,33 +166,35 @@
     match ahead {
         Some(vm) => {
             let before = site.positions().endpoints;
-            ask(site, states, vm).await == Asked::Given && site.positions().endpoints > before
+            fetch_from_parent(site, states, vm).await == StateOutcome::Fetched
+                && site.positions().endpoints > before
         }
         None => false,
     }
 }
 
-/// Waits until a VM has the state and hands it over; gives none if it is gone, or hasn't got it for too long.
-async fn wait_for_state<P, T>(site: &Site<P>, states: &T, giver: SocketAddr) -> Option<State>
+/// Polls a VM until it has the state and hands it over. Returns `None` if the VM is gone, or doesn't get
+/// the state in time.
+async fn wait_for_state<P, T>(site: &Site<P>, states: &T, parent: SocketAddr) -> Option<State>
 where
     P: Protocol,
     T: PeerStates,
 {
-    let (until, beyond) = (site.now() + GIVER_WITHIN, site.positions().endpoints);
+    let (until, beyond) = (site.now() + PARENT_WITHIN, site.positions().endpoints);
     loop {
-        match states.fetch_start(giver, beyond).await {
+        match states.fetch_start(parent, beyond).await {
             Ok(Some(state)) => return Some(state),
             Ok(None) if site.now() < until => sleep(jittered(POLL_EVERY)).await,
             Ok(None) => return None,
             Err(why) => {
-                tracing::debug!(%giver, why, "no state from another VM");
+                tracing::debug!(giver = %parent, why, "no state from another VM");
                 return None;
             }
         }
     }
 }
 
-fn take_in<P, T>(site: &Arc<Site<P>>, states: &T, giver: SocketAddr, state: &State)
+fn apply_state<P, T>(site: &Arc<Site<P>>, states: &T, parent: SocketAddr, state: &State)
 where
     P: Protocol,
     T: PeerStates,
@@ -194,7 +203,7 @@
     site.view().has_peer_state = true;
     for feed in [Feed::Configuration, Feed::Endpoints] {
         let mut f = Follower::new(Arc::clone(site), states.clone(), feed);
-        let vm = format_smolstr!("{giver}");
+        let vm = format_smolstr!("{parent}");
         f.apply_state(PeerState {
             vm,
             state: state.clone(),
@@ -202,7 +211,7 @@
     }
 }
 
-/// Takes in the VMs that another one knows.
+/// Adds the VMs that another VM knows.
 pub(crate) fn add_members<P>(site: &Site<P>, members: &Members)
 where
     P: Protocol,
@@ -222,12 +231,12 @@
     view.update_vm_count(now, 0);
 }
 
-/// Gives the VMs that this one knows, itself too.
+/// Returns the VMs that this VM knows, including itself.
 pub(crate) fn members<P>(site: &Site<P>) -> Members
 where
     P: Protocol,
 {
-    let own_vm = myself(site);
+    let own_vm = own_vm(site);
     let view = site.view();
     let others = view
         .peers
@@ -266,7 +275,7 @@
     })
 }
 
-/// Says to a VM that starts from whom it gets the state, and remembers it for those that follow.
+/// Assigns a parent to a VM that starts, and remembers the VM as a possible parent of later ones.
 pub(crate) fn assign_parent<P>(site: &Site<P>, said: &Introduction) -> Reply
 where
     P: Protocol,
@@ -278,18 +287,19 @@
     let mut view = site.view();
     view.add_vm(&vm);
     let (who, position) = ((vm.address, vm.millicores), view.positions.endpoints);
-    let giver = view.start_tree.assign_parent(now, &vm.zone, who, position);
+    let parent = view.start_tree.assign_parent(now, &vm.zone, who, position);
     if view.listed.get(&vm.name) != Some(&vm) {
         view.unlisted.insert(vm.name.clone(), vm);
         site.vm_unlisted.notify_one();
     }
-    Reply::Giver(match giver {
+    Reply::Giver(match parent {
         Parent::AskedVm => None,
         Parent::Other(a) => Some(a),
     })
 }
 
-/// Tells whether this VM has what others need that have read the list up to a position: all, where they have nothing yet.
+/// Returns `true` if this VM has what VMs need that have read the list up to a position: the full state if
+/// they have read nothing yet.
 pub(crate) fn has_all<P>(site: &Site<P>, beyond: LogPosition) -> bool
 where
     P: Protocol,
@@ -301,48 +311,50 @@
     has_list && (!beyond.is_start() || has_rest)
 }
 
-/// Has the store show this VM, and those that asked this one at their start, for as long as the process lives.
+/// Writes this VM, and those that asked it at their start, into the store, for as long as the process
+/// lives.
 ///
-/// An append takes its turn among those of all VMs, so one that comes from each VM waits for all others. What is
-/// given up may still be carried out: it is sent again later and later.
+/// Appends of all VMs are processed in order, so if each VM made its own, each would wait for all others.
+/// An append that got no answer may still be carried out, so it is repeated at growing intervals.
 pub async fn announce<P, S>(site: Arc<Site<P>>, store: S)
 where
     P: Protocol,
     S: Store,
 {
-    let (mut pause, mut again) = (ANNOUNCE_AFTER, WRITE_AGAIN_AFTER);
-    let mut own_due = site.now() + own_turn(&site);
+    let (mut pause, mut retry_pause) = (ANNOUNCE_AFTER, WRITE_RETRY_PAUSE);
+    let mut own_due = site.now() + own_announce_delay(&site);
     loop {
         let due = (!site.view().is_listed).then_some(own_due);
         tokio::select! {
-            () = site.vm_unlisted.notified() => sleep(GATHER).await,
+            () = site.vm_unlisted.notified() => sleep(COLLECT_TIME).await,
             () = until(&site, due) => {
-                // Another VM may have made it known meanwhile.
+                // Another VM may have announced this VM meanwhile.
                 if site.view().is_listed {
                     continue;
                 }
-                let own_vm = myself(&site);
+                let own_vm = own_vm(&site);
                 site.view().unlisted.insert(own_vm.name.clone(), own_vm);
                 own_due = site.now() + jittered(pause);
                 pause = (pause * 2).min(LONGEST_ANNOUNCE_PAUSE);
             }
         }
         match write_unlisted(&site, &store).await {
-            Ok(()) => again = WRITE_AGAIN_AFTER,
+            Ok(()) => retry_pause = WRITE_RETRY_PAUSE,
             Err(e) => {
-                tracing::info!(error = %e, "VMs could not be made known yet");
-                sleep(jittered(again)).await;
-                again = (again * 2).min(LONGEST_ANNOUNCE_PAUSE);
+                tracing::info!(error = %e, "failed to write VMs into the store; will retry");
+                sleep(jittered(retry_pause)).await;
+                retry_pause = (retry_pause * 2).min(LONGEST_ANNOUNCE_PAUSE);
                 site.vm_unlisted.notify_one();
             }
         }
     }
 }
 
-/// Gives after how long this VM makes itself known, if nobody has done so for it: at once where it is among those that others ask.
-fn own_turn<P>(site: &Site<P>) -> Duration {
+/// Returns the time after which this VM announces itself if no other VM has done so: at once if it is a
+/// seed, or if the settings name no seeds.
+fn own_announce_delay<P>(site: &Site<P>) -> Duration {
     let settings = site.settings.load();
-    if settings.seeds.is_empty() || is_named(&settings) {
+    if settings.seeds.is_empty() || is_seed(&settings) {
         Duration::ZERO
     } else {
         jittered(ANNOUNCE_AFTER)
@@ -359,7 +371,7 @@
     }
 }
 
-fn myself<P>(site: &Site<P>) -> Vm {
+fn own_vm<P>(site: &Site<P>) -> Vm {
     let settings = site.settings.load();
     Vm {
         name: SmolStr::new(site.own_vm.as_str()),
@@ -369,7 +381,7 @@
     }
 }
 
-/// Writes the VMs into the store that it doesn't show yet.
+/// Writes the VMs into the store that it doesn't list yet.
 async fn write_unlisted<P, S>(site: &Site<P>, store: &S) -> Result<(), StoreError>
 where
     P: Protocol,
