--- a/crates/limehollow-node/src/peer_state.rs
+++ b/crates/limehollow-node/src/peer_state.rs
@@ -1,7 +1,7 @@
-//! What a VM has read of the platform's store, handed to one that can't read it.
+//! Handing what a VM has read from the platform's store to VMs that can't read the store.
 //!
-//! The store may turn some VMs away and serve the others. Who hears that another VM has read further,
-//! and can't read the store itself, asks that VM.
+//! The store may reject some VMs and serve the others. A VM that can't read the store asks a VM that has
+//! read further.
 
 use crate::edge::{PeerStates, Protocol};
 use crate::site::Site;
@@ -26,18 +26,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// What is asked for: what has been read of the store, and the requests under which endpoints crashed.
+/// The paths of requests: the state read from the store, and the records of requests under which endpoints
+/// crashed.
 const STATE: &str = "/";
 const CRASHES: &str = "/crashes";
-/// What a VM asks for that starts: the state too, once it is whole and the list read beyond the position that follows.
+/// The path prefix for a VM that starts. It gets the state once that is complete and the list has been read
+/// beyond the position that follows in the path.
 const START: &str = "/start/";
 const CONFIGURATION: &str = "/configuration";
 const MEMBERS: &str = "/members";
-/// How long a VM may take to hand over its state: some MB on the slowest links.
+/// How long another VM may take to hand over its state: some MB on the slowest links.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The largest state that is read: several times that of the largest deployment.
 const MAX_STATE: usize = 8 << 20;
-/// How long a connection of another VM may be at rest.
+/// How long a connection of another VM may be idle.
 const IDLE: Duration = Duration::from_secs(5);
 
 /// Hands this VM's state to others until the process ends.
@@ -56,7 +58,7 @@
     if let Some(beyond) = path.strip_prefix(START) {
         let has_all = beyond.parse().is_ok_and(|p| site.has_all(p));
         if !has_all {
-            return empty(StatusCode::SERVICE_UNAVAILABLE);
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
     }
     let body = match path {
@@ -71,13 +73,13 @@
     match body {
         Ok(body) => Response::new(Full::new(Bytes::from(body))),
         Err(e) => {
-            tracing::error!(error = %e, "the state can't be written");
-            empty(StatusCode::INTERNAL_SERVER_ERROR)
+            tracing::error!(error = %e, "failed to encode the state");
+            empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
 
-fn empty(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::default());
     *res.status_mut() = status;
     res
@@ -89,12 +91,12 @@
 
 impl PeerStates for HttpStates {
     async fn fetch(&self, from: SocketAddr) -> Result<State, String> {
-        let body = ask_in_time(from, STATE).await?;
+        let body = fetch_with_timeout(from, STATE).await?;
         decode_state(&body).map_err(|e| e.to_string())
     }
 
     async fn fetch_configuration(&self, from: SocketAddr) -> Result<State, String> {
-        let body = ask_in_time(from, CONFIGURATION).await?;
+        let body = fetch_with_timeout(from, CONFIGURATION).await?;
         decode_state(&body).map_err(|e| e.to_string())
     }
 
@@ -103,9 +105,9 @@
         from: SocketAddr,
         beyond: LogPosition,
     ) -> Result<Option<State>, String> {
-        match ask_in_time(from, &format!("{START}{beyond}")).await {
+        match fetch_with_timeout(from, &format!("{START}{beyond}")).await {
             Ok(body) => decode_state(&body).map(Some).map_err(|e| e.to_string()),
-            Err(AskError::Status {
+            Err(FetchError::Status {
                 status: StatusCode::SERVICE_UNAVAILABLE,
             }) => Ok(None),
             Err(e) => Err(e.to_string()),
@@ -113,19 +115,19 @@
     }
 
     async fn fetch_members(&self, from: SocketAddr) -> Result<Members, String> {
-        let body = ask_in_time(from, MEMBERS).await?;
+        let body = fetch_with_timeout(from, MEMBERS).await?;
         decode_members(&body).map_err(|e| e.to_string())
     }
 
     async fn fetch_crashes(&self, from: SocketAddr) -> Result<Vec<CrashRecord>, String> {
-        let body = ask_in_time(from, CRASHES).await?;
+        let body = fetch_with_timeout(from, CRASHES).await?;
         decode_crashes(&body).map_err(|e| e.to_string())
     }
 }
 
-/// Why another VM gave nothing.
+/// Why a request to another VM failed.
 #[derive(Debug, Snafu)]
-enum AskError {
+enum FetchError {
     #[snafu(display("no answer in time"))]
     Silent,
     #[snafu(display("status {}", status.as_u16()))]
@@ -134,25 +136,25 @@
     Broken { why: String },
 }
 
-impl From<AskError> for String {
-    fn from(e: AskError) -> Self {
+impl From<FetchError> for String {
+    fn from(e: FetchError) -> Self {
         e.to_string()
     }
 }
 
-fn broken<E>(e: E) -> AskError
+fn broken<E>(e: E) -> FetchError
 where
     E: Display,
 {
-    AskError::Broken { why: e.to_string() }
+    FetchError::Broken { why: e.to_string() }
 }
 
-async fn ask_in_time(from: SocketAddr, path: &str) -> Result<Bytes, AskError> {
-    let asked = timeout(FETCH_TIMEOUT, ask(from, path)).await;
-    asked.unwrap_or(Err(AskError::Silent))
+async fn fetch_with_timeout(from: SocketAddr, path: &str) -> Result<Bytes, FetchError> {
+    let fetched = timeout(FETCH_TIMEOUT, fetch_body(from, path)).await;
+    fetched.unwrap_or(Err(FetchError::Silent))
 }
 
-async fn ask(from: SocketAddr, path: &str) -> Result<Bytes, AskError> {
+async fn fetch_body(from: SocketAddr, path: &str) -> Result<Bytes, FetchError> {
     let stream = TcpStream::connect(from).await.map_err(broken)?;
     let handshake = client::handshake(TokioIo::new(stream)).await;
     let (mut sender, driver) = handshake.map_err(broken)?;
@@ -165,7 +167,7 @@
     let status = res.status();
     if status != StatusCode::OK {
         driver.abort();
-        return Err(AskError::Status { status });
+        return Err(FetchError::Status { status });
     }
     let body = Limited::new(res.into_body(), MAX_STATE).collect().await;
     let body = body.map_err(broken)?.to_bytes();
