--- a/crates/limehollow-node/src/controller.rs
+++ b/crates/limehollow-node/src/controller.rs
@@ -1,13 +1,13 @@
-//! The controller: holds the lease, and moves models and adapters as demand moves.
+//! The controller: holds the lease, and moves models and adapters as demand changes.
 //!
-//! One VM of the site gives all orders: the one that holds the lease (`lease`). It weighs demand
-//! several times a second and begins a task for each move (`order_task`).
+//! One VM of the site gives all orders: the holder of the lease (module `lease`). It evaluates demand
+//! several times a second and starts a task for each move (module `order_task`).
 
 use crate::attempt::{LimitGrant, Target};
 use crate::clock::Clock;
 use crate::edge::{Protocol, Store};
 use crate::lease::{SharedLease, fence, maintain_lease};
-use crate::order_task::{Ended, Moved, OrderTask, SharedLateLoads, SharedLoadWindow};
+use crate::order_task::{MoveKind, OrderTask, SharedLateLoads, SharedLoadWindow, TaskEnd};
 use crate::site::Site;
 use crate::site_view::SiteView;
 use limehollow::catalog::{Catalog, EngineSpec};
@@ -22,22 +22,23 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-/// How often demand is weighed for models, and at most for adapters.
-const WEIGH_EVERY: Duration = Duration::from_millis(200);
-const WEIGH_ADAPTERS_EVERY: Duration = Duration::from_millis(5);
-/// How many times as long as a weighing took this VM does other things after it: it has callers, and a lease
-/// to renew. At 112 endpoints and 155 models a weighing took so long that the lease lapsed.
-const REST_AFTER: u32 = 4;
-/// How often demand and load are put into a log line.
+/// How often demand is evaluated for models, and the shortest interval for adapters.
+const EVALUATE_EVERY: Duration = Duration::from_millis(200);
+const EVALUATE_ADAPTERS_EVERY: Duration = Duration::from_millis(5);
+/// The pause after an evaluation as a multiple of its duration. In the pause the VM serves its callers and
+/// renews the lease. At 112 endpoints and 155 models an evaluation took so long that the lease lapsed.
+const PAUSE_FACTOR: u32 = 4;
+/// How often demand and load are logged.
 const LOG_DEMAND_EVERY: Duration = Duration::from_secs(1);
-/// The demand that a request stands for that waits for something not loaded, in ms of work a second.
+/// The demand that is assumed for a request that waits for a model or adapter that isn't loaded, in ms of
+/// work per second.
 const WAITING_DEMAND: f64 = 5.0;
 
-/// Holds the lease whenever it is dealt to this VM, and gives orders while it holds it.
+/// Joins the group for the lease, and gives orders while this VM holds the lease.
 pub async fn run<P, S>(
     site: Arc<Site<P>>,
     store: S,
-    wanted: Arc<Notify>,
+    wake_controller: Arc<Notify>,
     stop: watch::Receiver<bool>,
 ) where
     P: Protocol,
@@ -54,48 +55,48 @@
         late: SharedLateLoads::default(),
         store_loads: BTreeMap::new(),
         fence: 0,
-        at_work: BTreeSet::new(),
-        logged: site.now(),
+        busy_endpoints: BTreeSet::new(),
+        demand_logged: site.now(),
         ended: ended_tx,
     };
     tokio::spawn(maintain_lease(Arc::clone(&site), store, lease, stop));
     let mut models_due = site.now();
     let mut adapters_due = site.now();
-    let mut asked = false;
+    let mut adapters_requested = false;
     loop {
         tokio::select! {
             () = site.clock.sleep_until(models_due) => {
-                models_due = next_after(&site.clock, WEIGH_EVERY, || g.weigh());
-                asked = true;
+                models_due = next_after(&site.clock, EVALUATE_EVERY, || g.evaluate());
+                adapters_requested = true;
             }
-            () = site.clock.sleep_until(adapters_due), if asked => {
-                adapters_due = next_after(&site.clock, WEIGH_ADAPTERS_EVERY, || g.load_adapters());
-                asked = false;
+            () = site.clock.sleep_until(adapters_due), if adapters_requested => {
+                adapters_due = next_after(&site.clock, EVALUATE_ADAPTERS_EVERY, || g.load_adapters());
+                adapters_requested = false;
             }
-            () = wanted.notified() => asked = true,
+            () = wake_controller.notified() => adapters_requested = true,
             Some(e) = ended.recv() => {
-                g.note_end(&e);
-                asked = true;
+                g.apply_end(&e);
+                adapters_requested = true;
             }
         }
     }
 }
 
-/// Gives the endpoints that are listed but out of reach.
+/// Returns the endpoints that are listed but out of reach.
 fn lost(view: &SiteView, now: Instant) -> BTreeSet<EndpointKey> {
     let keys = view.roster.iter().map(|(k, _)| k);
     keys.filter(|k| view.balance.is_lost(now, *k)).collect()
 }
 
-/// Weighs, and gives when to weigh again.
-fn next_after<F>(clock: &Clock, every: Duration, weigh: F) -> Instant
+/// Runs an evaluation, and returns when the next one is due.
+fn next_after<F>(clock: &Clock, every: Duration, evaluate: F) -> Instant
 where
     F: FnOnce(),
 {
     let began = clock.now();
-    weigh();
+    evaluate();
     let now = clock.now();
-    (began + every).max(now + now.duration_since(began) * REST_AFTER)
+    (began + every).max(now + now.duration_since(began) * PAUSE_FACTOR)
 }
 
 struct Controller<P>
@@ -105,43 +106,43 @@
     site: Arc<Site<P>>,
     lease: SharedLease,
     rebalancers: BTreeMap<ServiceName, Rebalancer>,
-    /// What is known of endpoints whose last order was ours and was answered.
+    /// What is known of endpoints whose last order was given by this VM and was answered.
     books: BTreeMap<EndpointKey, OrderBook>,
-    /// What was ordered without an answer. It outlasts the lease: the orders are still under way.
+    /// The orders without an answer. They outlast the lease, as the orders may still be carried out.
     late: SharedLateLoads,
     /// The loads from the weight store that were ordered, by service. They outlast the lease too.
     store_loads: BTreeMap<ServiceName, SharedLoadWindow>,
-    /// The lease under which loads were last counted.
+    /// The fencing number of the lease under which loads were last counted.
     fence: u64,
-    /// Endpoints that a task is at work with.
-    at_work: BTreeSet<EndpointKey>,
-    /// When demand was last put into a log line.
-    logged: Instant,
-    ended: mpsc::UnboundedSender<Ended>,
+    /// Endpoints on which a task is working.
+    busy_endpoints: BTreeSet<EndpointKey>,
+    /// When demand was last logged.
+    demand_logged: Instant,
+    ended: mpsc::UnboundedSender<TaskEnd>,
 }
 
 impl<P> Controller<P>
 where
     P: Protocol,
 {
-    fn note_end(&mut self, e: &Ended) {
-        self.at_work.remove(&e.key);
+    fn apply_end(&mut self, e: &TaskEnd) {
+        self.busy_endpoints.remove(&e.key);
         match &e.book {
             Some(b) => self.books.insert(e.key, b.clone()),
             None => self.books.remove(&e.key),
         };
         if let Some(r) = self.rebalancers.get_mut(&e.service) {
             match e.what {
-                Moved::Model => r.model_ended(self.site.now(), e.key, e.book.is_some()),
-                Moved::Adapter => r.adapter_ended(self.site.now(), e.key, e.book.is_some()),
+                MoveKind::Model => r.model_ended(self.site.now(), e.key, e.book.is_some()),
+                MoveKind::Adapter => r.adapter_ended(self.site.now(), e.key, e.book.is_some()),
             }
         }
     }
 
-    /// Weighs demand anew, and begins the moves that it asks for.
-    fn weigh(&mut self) {
+    /// Evaluates demand, and starts the moves that result.
+    fn evaluate(&mut self) {
         let Some(fence) = fence(&self.site, &self.lease) else {
-            if self.at_work.is_empty() {
+            if self.busy_endpoints.is_empty() {
                 self.rebalancers.clear();
                 self.books.clear();
             }
@@ -150,8 +151,8 @@
         let Some(catalog) = self.site.catalog.load_full() else {
             return;
         };
-        self.forget_former_starts();
-        self.note_lease(fence, &catalog);
+        self.forget_gone_instances();
+        self.record_lease(fence, &catalog);
         let now = self.site.now();
         let demand = self.demand(now);
         let ceiling = self.site.settings.load().load_ceiling();
@@ -160,8 +161,8 @@
             let r = self.rebalancers.entry(service.clone()).or_default();
             r.observe(now, &demand);
             r.observe_lost(lost(&self.site.view(), now));
-            if now.duration_since(self.logged) >= LOG_DEMAND_EVERY {
-                self.logged = now;
+            if now.duration_since(self.demand_logged) >= LOG_DEMAND_EVERY {
+                self.demand_logged = now;
                 let view = self.site.view();
                 let seen = r.loads(&view.roster, service, engine);
                 let token_us: Vec<_> = view.balance.token_us().collect();
@@ -172,20 +173,20 @@
                 tracing::info!(fence, load = %m.load, evict = ?m.evict, "move begins");
                 self.books.remove(&key);
                 if let Some(task) = self.task(service, key, engine) {
-                    self.at_work.insert(key);
+                    self.busy_endpoints.insert(key);
                     let ended = self.ended.clone();
                     tokio::spawn(async move {
                         let book = task.move_model(&m).await;
-                        task.end(Moved::Model, &ended, book);
+                        task.end(MoveKind::Model, &ended, book);
                     });
                 }
             }
         }
     }
 
-    /// Takes in under which lease orders are given. Under a new one another VM may have given them until the lease's pause
-    /// began, and loaded as much as the weight store allows.
-    fn note_lease(&mut self, fence: u64, catalog: &Catalog) {
+    /// Records the lease under which orders are given. Under a new lease, another VM may have given orders
+    /// until the handover pause began, and may have loaded as much as the weight store allows.
+    fn record_lease(&mut self, fence: u64, catalog: &Catalog) {
         if self.fence == fence {
             return;
         }
@@ -202,13 +203,13 @@
         }
     }
 
-    /// Drops what is known of starts of endpoints that are gone.
-    fn forget_former_starts(&mut self) {
+    /// Forgets what is known of instances of endpoints that are gone.
+    fn forget_gone_instances(&mut self) {
         let view = self.site.view();
         self.books.retain(|k, _| view.roster.get(*k).is_some());
     }
 
-    /// Begins to load adapters that are asked for and not there.
+    /// Starts to load requested adapters that aren't loaded.
     fn load_adapters(&mut self) {
         if fence(&self.site, &self.lease).is_none() {
             return;
@@ -222,34 +223,34 @@
             let Some(engine) = &spec.engine else { continue };
             let r = self.rebalancers.entry(service.clone()).or_default();
             r.observe(now, &demand);
-            let at_work = &self.at_work;
-            let resting = |k: EndpointKey| !at_work.contains(&k);
+            let busy_endpoints = &self.busy_endpoints;
+            let resting = |k: EndpointKey| !busy_endpoints.contains(&k);
             let view = self.site.view();
-            let wanted = &view.requested_loads;
-            let moves = r.plan_adapters(now, &view.roster, service, engine, wanted, resting);
+            let requested = &view.requested_loads;
+            let moves = r.plan_adapters(now, &view.roster, service, engine, requested, resting);
             drop(view);
             for (key, m) in moves {
                 let book = self.books.get(&key).cloned();
                 if let Some(task) = self.task(service, key, engine) {
-                    self.at_work.insert(key);
+                    self.busy_endpoints.insert(key);
                     let ended = self.ended.clone();
                     tokio::spawn(async move {
                         let book = task.move_adapter(&m, book).await;
-                        task.end(Moved::Adapter, &ended, book);
+                        task.end(MoveKind::Adapter, &ended, book);
                     });
                 }
             }
         }
     }
 
-    /// Sums what the callers of all VMs ask for.
+    /// Returns the summed demand of the callers of all VMs.
     fn demand(&self, now: Instant) -> BTreeMap<ModelRef, f64> {
         let mut view = self.site.view();
         let mut sum: BTreeMap<ModelRef, f64> = view.arrivals.rates(now).into_iter().collect();
         for (m, d) in view.demand.values().flat_map(|(_, d)| d) {
             *sum.entry(m.clone()).or_default() += f64::from(*d);
         }
-        // A request that waits is told at once, before the demand that it is part of.
+        // A requested load is reported at once, before the demand that it is part of.
         for m in view.requested_loads.keys() {
             sum.entry(m.clone()).or_insert(WAITING_DEMAND);
         }
--- a/crates/limehollow-node/src/order_task.rs
+++ b/crates/limehollow-node/src/order_task.rs
@@ -1,9 +1,10 @@
 //! The orders of one move at one endpoint.
 //!
-//! Before each order on a model the endpoint's own report is read, and the order names the number of orders
-//! in it, so that an order that is carried out late is void once another was taken. A report of a later start of the
-//! endpoint ends the task, and room is kept for orders to a former start ([`limehollow::late_loads`]). Other VMs hear at
-//! once what is about to go and what has come.
+//! Before each order on a model, the endpoint's own report is read. The order names the number of orders in
+//! that report, so that an order that is carried out late is void if the endpoint has taken another one
+//! meanwhile. A report of a later instance of the endpoint ends the task; memory stays reserved for loads
+//! that were ordered from a former instance ([`limehollow::late_loads`]). Other VMs are informed at once of
+//! what is about to be unloaded and what was loaded.
 
 use crate::attempt::{self, Target};
 use crate::edge::{Action, Order, OrderReply, Protocol};
@@ -26,63 +27,64 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How often a busy endpoint is asked how far it is.
-const ASK_EVERY: Duration = Duration::from_millis(150);
-/// How long a call to an endpoint may take.
+/// How often a busy endpoint is asked for its progress.
+const POLL_EVERY: Duration = Duration::from_millis(150);
+/// The timeout of a call to an endpoint.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a move may take in all: the longest load several times over, and the runs before it.
+/// The timeout of a whole move: the longest load several times over, and the runs before it.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(40);
-/// What an adapter takes to load, beyond the answer to its order.
-const ADAPTER_LOAD: Duration = Duration::from_millis(25);
-/// How often other VMs are told again what is about to go: well within the time for which a report goes
-/// before the list.
-const TELL_EVERY: Duration = Duration::from_millis(1000);
-/// The time that other VMs get to hear that a model is about to go.
-const WITHDRAW: Duration = Duration::from_millis(30);
-/// How long an adapter may take to go: as long as most streams run.
+/// The time that an adapter takes to load, after the answer to the order.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
+/// How often other VMs are informed again of what is about to be unloaded: well within the time for which a
+/// report takes precedence over the list.
+const REPORT_EVERY: Duration = Duration::from_millis(1000);
+/// The time for other VMs to receive that a model is about to be unloaded.
+const WITHDRAW_TIME: Duration = Duration::from_millis(30);
+/// How long an adapter may take to be unloaded: as long as most streams run.
 const DROP_TIMEOUT: Duration = Duration::from_secs(4);
-/// Steps of an adapter's move at most: dropping, loading, and conflicts in between.
+/// The largest number of steps of an adapter's move: dropping, loading, and conflicts in between.
 const MAX_ADAPTER_STEPS: u32 = 5;
-/// How long an order that was taken may be missing in the endpoint's reports, which are as of some hundred ms ago. Without
-/// a bound a move at an endpoint that had started again kept it from all other orders for [`MOVE_TIMEOUT`].
+/// How long an accepted order may be missing in the endpoint's reports, which are some hundred ms old.
+/// Without a limit, a move at a restarted endpoint blocked all other orders for that endpoint for
+/// [`MOVE_TIMEOUT`].
 const COUNTED_WITHIN: Duration = Duration::from_millis(2000);
-/// Orders that are given without an answer before a move is given up.
+/// The number of unanswered calls and refused orders that a move tolerates.
 const MAX_UNANSWERED: u32 = 3;
 
-/// The loads that were ordered without an answer; never held over an `await`.
+/// The loads that were ordered without an answer. The lock is never held over an `await`.
 pub(crate) type SharedLateLoads = Arc<Mutex<LateLoads>>;
-/// The loads from the weight store; never held over an `await`.
+/// The loads from the weight store. The lock is never held over an `await`.
 pub(crate) type SharedLoadWindow = Arc<Mutex<LoadWindow>>;
 
-/// What was moved.
+/// The kind of a move.
 #[derive(Clone, Copy)]
-pub(crate) enum Moved {
+pub(crate) enum MoveKind {
     Model,
     Adapter,
 }
 
-/// What a task of a move says at its end.
-pub(crate) struct Ended {
+/// The result of a task.
+pub(crate) struct TaskEnd {
     /// What was moved.
-    pub(crate) what: Moved,
+    pub(crate) what: MoveKind,
     pub(crate) service: ServiceName,
     pub(crate) key: EndpointKey,
-    /// What is known of the endpoint now.
+    /// The known state of the endpoint after the move.
     pub(crate) book: Option<OrderBook>,
 }
 
-/// How far the move of a model is.
+/// The progress of a model's move.
 struct Progress {
     began: Instant,
     check: StartCheck,
     /// Reports and orders without an answer, and orders that were refused.
     unanswered: u32,
-    /// How many orders the endpoint has taken at least.
-    least: u64,
+    /// The least number of orders that the endpoint has taken.
+    least_orders: u64,
     /// When the last order was taken.
-    ordered: Instant,
-    /// When other VMs were last told what is about to go.
-    told: Instant,
+    last_ordered: Instant,
+    /// When other VMs were last informed of what is about to be unloaded.
+    last_reported: Instant,
 }
 
 impl Progress {
@@ -91,18 +93,18 @@
             began: now,
             check: StartCheck::new(instance.clone()),
             unanswered: 0,
-            least: 0,
-            ordered: now,
-            told: now,
+            least_orders: 0,
+            last_ordered: now,
+            last_reported: now,
         }
     }
 }
 
-/// How the move of a model ended.
+/// The end of a model's move.
 struct MoveEnd {
-    /// For the log.
+    /// The outcome, for the log.
     outcome: &'static str,
-    /// What is known of the endpoint, if the model is there.
+    /// The known state of the endpoint, if the model was loaded.
     book: Option<OrderBook>,
 }
 
@@ -115,14 +117,14 @@
     }
 }
 
-/// What a task needs to give orders to one endpoint.
+/// A task that gives the orders of one move to one endpoint.
 pub(crate) struct OrderTask<P>
 where
     P: Protocol,
 {
     pub(crate) site: Arc<Site<P>>,
     pub(crate) lease: SharedLease,
-    /// What was ordered without an answer, by all tasks of this VM.
+    /// The loads that were ordered without an answer, by all tasks of this VM.
     pub(crate) late: SharedLateLoads,
     /// The loads from the weight store that all tasks of this VM have ordered.
     pub(crate) store_loads: SharedLoadWindow,
@@ -135,24 +137,24 @@
 where
     P: Protocol,
 {
-    /// Says that the task has ended.
+    /// Reports the end of the task to the controller.
     pub(crate) fn end(
         &self,
-        what: Moved,
-        ended: &mpsc::UnboundedSender<Ended>,
+        what: MoveKind,
+        ended: &mpsc::UnboundedSender<TaskEnd>,
         book: Option<OrderBook>,
     ) {
-        let e = Ended {
+        let e = TaskEnd {
             what,
             service: self.service.clone(),
             key: self.to.key,
             book,
         };
-        // Only a process that ends has nobody who hears it.
+        // The controller is gone only when the process ends.
         let _ending = ended.send(e);
     }
 
-    /// Carries out a move of a model. Gives what is known of the endpoint then.
+    /// Carries out a move of a model. Returns the known state of the endpoint afterwards.
     pub(crate) async fn move_model(&self, m: &ModelMove) -> Option<OrderBook> {
         let mut p = Progress::new(self.site.now(), &self.to.instance);
         loop {
@@ -160,11 +162,11 @@
                 self.log_move(m, p.began, end.outcome);
                 return end.book;
             }
-            sleep(ASK_EVERY).await;
+            sleep(POLL_EVERY).await;
         }
     }
 
-    /// Reads the endpoint's report, and gives the order that it asks for.
+    /// Reads the endpoint's report, and gives the order that the report calls for.
     async fn advance(&self, m: &ModelMove, p: &mut Progress) -> ControlFlow<MoveEnd> {
         if self.since(p.began) >= MOVE_TIMEOUT {
             return MoveEnd::failed("took too long");
@@ -177,44 +179,47 @@
             return ControlFlow::Continue(());
         };
         if !p.check.observe(r.born, r.orders_taken) {
-            self.tell_start(&r);
+            self.report_restart(&r);
             return MoveEnd::failed("the endpoint has started again");
         }
-        // A report may be older than the order before it.
-        let step = if r.orders_taken >= p.least {
+        // A report may be older than the last order.
+        let step = if r.orders_taken >= p.least_orders {
             m.step(
                 &r,
                 &self.spec,
                 self.reserve(&OrderBook::from(r.clone()), &model(&m.load)),
             )
-        } else if self.since(p.ordered) < COUNTED_WITHIN {
+        } else if self.since(p.last_ordered) < COUNTED_WITHIN {
             Step::Wait
         } else {
             return MoveEnd::failed("the order is not counted");
         };
         match step {
             Step::Wait => {
-                // What is going is still listed until its last run has ended.
-                if self.since(p.told) >= TELL_EVERY {
-                    p.told = self.site.now();
-                    self.tell(left(&r, m), r.orders_taken.max(p.least));
+                // The models being unloaded are listed until their last run has ended.
+                if self.since(p.last_reported) >= REPORT_EVERY {
+                    p.last_reported = self.site.now();
+                    self.report_holdings(
+                        without_evicted(&r, m),
+                        r.orders_taken.max(p.least_orders),
+                    );
                 }
                 ControlFlow::Continue(())
             }
             Step::Done => {
-                self.tell(r.holdings.clone(), r.orders_taken);
+                self.report_holdings(r.holdings.clone(), r.orders_taken);
                 ControlFlow::Break(MoveEnd {
                     outcome: "done",
                     book: Some(OrderBook::from(r)),
                 })
             }
             Step::NoRoom => {
-                self.tell(r.holdings, r.orders_taken);
+                self.report_holdings(r.holdings, r.orders_taken);
                 MoveEnd::failed("no room")
             }
             Step::Unload(name) => {
-                self.tell(left(&r, m), r.orders_taken);
-                sleep(WITHDRAW).await;
+                self.report_holdings(without_evicted(&r, m), r.orders_taken);
+                sleep(WITHDRAW_TIME).await;
                 self.order_model(Action::Unload, &name, m, &r, p).await
             }
             Step::Load if !self.may_load(&m.load, &r) => ControlFlow::Continue(()),
@@ -222,8 +227,8 @@
         }
     }
 
-    /// Counts a load against what the weight store allows, unless the endpoint has a copy at hand. Gives whether it may begin
-    /// now.
+    /// Counts a load against the limit of the weight store, unless the endpoint has a local copy. Returns
+    /// `true` if the load may begin now.
     fn may_load(&self, model: &SmolStr, r: &EndpointReport) -> bool {
         if r.copies.contains(model) {
             return true;
@@ -247,10 +252,10 @@
     ) -> ControlFlow<MoveEnd> {
         match self.order(action, &model(name), r.orders_taken).await {
             Some(OrderReply::Taken) => {
-                p.least = r.orders_taken + 1;
-                p.ordered = self.site.now();
-                p.told = p.ordered;
-                self.tell(left(r, m), p.least);
+                p.least_orders = r.orders_taken + 1;
+                p.last_ordered = self.site.now();
+                p.last_reported = p.last_ordered;
+                self.report_holdings(without_evicted(r, m), p.least_orders);
             }
             Some(OrderReply::Holds | OrderReply::Conflict) => {}
             Some(OrderReply::Refused(_)) | None => p.unanswered += 1,
@@ -258,8 +263,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Loads an adapter, from what is known of the endpoint. Gives what is known of it then; nothing if no order was
-    /// given, since then the plan rested on something else than the book, or if the endpoint has started again.
+    /// Loads an adapter, starting from the known state of the endpoint. Returns the known state afterwards,
+    /// or `None` if no order was given, as the plan was then based on something else than this state, or if
+    /// the endpoint has restarted.
     pub(crate) async fn move_adapter(
         &self,
         m: &AdapterMove,
@@ -277,30 +283,34 @@
                 AdapterStep::Unload(r) => (Action::Unload, r),
                 AdapterStep::Load => (Action::Load, m.load.clone()),
                 AdapterStep::Done | AdapterStep::Impossible => {
-                    self.tell(book.holdings.clone(), book.orders_taken);
+                    self.report_holdings(book.holdings.clone(), book.orders_taken);
                     return ordered.then_some(book);
                 }
             };
             if action == Action::Unload {
                 book.withdraw(&subject);
-                self.tell(book.holdings.clone(), book.orders_taken);
-                sleep(WITHDRAW).await;
+                self.report_holdings(book.holdings.clone(), book.orders_taken);
+                sleep(WITHDRAW_TIME).await;
             }
             ordered = true;
             let counted = match self.order(action, &subject, book.orders_taken).await? {
                 OrderReply::Taken if action == Action::Unload => {
-                    // It waits for its runs; until it is gone, the endpoint takes no other order.
-                    let least = book.orders_taken + 1;
-                    book = self.wait_dropped(&subject, least, &mut check).await?;
+                    // The adapter waits for its runs. Until it is unloaded, the endpoint takes no other
+                    // order.
+                    let least_orders = book.orders_taken + 1;
+                    book = self
+                        .wait_dropped(&subject, least_orders, &mut check)
+                        .await?;
                     continue;
                 }
                 OrderReply::Taken => true,
-                // An adapter that no request uses goes at once, which is answered as done and counts; a
-                // load of what is there doesn't.
+                // An adapter that no request uses is unloaded at once. That is answered as done and counts
+                // as an order; a load of what is already there doesn't count.
                 OrderReply::Holds => action == Action::Unload,
                 OrderReply::Conflict => {
-                    // A report is as of some time ago; one that is read at once would show the same.
-                    sleep(ASK_EVERY).await;
+                    // Reports are some hundred ms old; a report that is read at once would show the same
+                    // state.
+                    sleep(POLL_EVERY).await;
                     book = self.read_book(&mut check).await?;
                     continue;
                 }
@@ -311,69 +321,70 @@
                 Action::Load => book.record_load(&subject, counted),
             }
             if action == Action::Load && counted {
-                sleep(ADAPTER_LOAD).await;
+                sleep(ADAPTER_LOAD_TIME).await;
             }
         }
         None
     }
 
-    /// Waits until an adapter that is being dropped is gone, by reports that count the order to drop it.
+    /// Waits until an adapter that is being dropped is unloaded, by reports that count the order to drop
+    /// it.
     async fn wait_dropped(
         &self,
         m: &ModelRef,
-        least: u64,
+        least_orders: u64,
         check: &mut StartCheck,
     ) -> Option<OrderBook> {
         let until = self.site.now() + DROP_TIMEOUT;
         while self.site.now() < until {
-            sleep(ASK_EVERY).await;
+            sleep(POLL_EVERY).await;
             let mut book = self.read_book(check).await?;
-            if book.orders_taken >= least && !holds(&book.holdings, m) {
+            if book.orders_taken >= least_orders && !holds(&book.holdings, m) {
                 return Some(book);
             }
             book.withdraw(m);
-            self.tell(book.holdings, book.orders_taken);
+            self.report_holdings(book.holdings, book.orders_taken);
         }
         None
     }
 
-    /// Reads what the endpoint reports; none if it doesn't, or has started again.
+    /// Reads the endpoint's report. Returns `None` if the endpoint doesn't answer or has restarted.
     async fn read_book(&self, check: &mut StartCheck) -> Option<OrderBook> {
         let r = self.report().await?;
         if check.observe(r.born, r.orders_taken) {
             return Some(OrderBook::from(r));
         }
-        self.tell_start(&r);
+        self.report_restart(&r);
         None
     }
 
-    /// Gives what has to stay free at the endpoint while something is loaded there.
+    /// Returns what has to stay free at the endpoint while something is loaded there.
     fn reserve(&self, book: &OrderBook, loading: &ModelRef) -> Reserve {
         let late = self.late.lock().unwrap_or_else(PoisonError::into_inner);
         let id = &self.to.instance.id;
         late.reserve(self.site.now(), id, book, loading, &self.spec)
     }
 
-    fn note_late(&self, subject: &ModelRef, expected: u64) {
+    fn record_late(&self, subject: &ModelRef, expected: u64) {
         let mut late = self.late.lock().unwrap_or_else(PoisonError::into_inner);
         late.record(self.site.now(), &self.to.instance, subject, expected);
     }
 
-    /// Tells this VM and the others that the endpoint has started again, and what it holds.
-    fn tell_start(&self, r: &EndpointReport) {
+    /// Reports to this VM and the others that the endpoint has restarted, and its holdings.
+    fn report_restart(&self, r: &EndpointReport) {
         let instance = Instance {
             id: self.to.instance.id.clone(),
             born: r.born,
         };
-        self.tell_of(instance, r.holdings.clone(), r.orders_taken);
+        self.report_holdings_of(instance, r.holdings.clone(), r.orders_taken);
     }
 
-    /// Tells this VM and the others what the endpoint holds.
-    fn tell(&self, holdings: Holdings, orders_taken: u64) {
-        self.tell_of(self.to.instance.clone(), holdings, orders_taken);
+    /// Reports the endpoint's holdings to this VM and the others.
+    fn report_holdings(&self, holdings: Holdings, orders_taken: u64) {
+        self.report_holdings_of(self.to.instance.clone(), holdings, orders_taken);
     }
 
-    fn tell_of(&self, instance: Instance, holdings: Holdings, orders_taken: u64) {
+    fn report_holdings_of(&self, instance: Instance, holdings: Holdings, orders_taken: u64) {
         let r = HoldingsReport {
             instance,
             holdings,
@@ -418,7 +429,8 @@
         }
     }
 
-    /// Gives one order, if the lease allows it now. None if it is not known whether it was taken.
+    /// Gives one order, if the lease allows it now. Returns `None` if it isn't known whether the order was
+    /// taken.
     async fn order(&self, action: Action, subject: &ModelRef, expected: u64) -> Option<OrderReply> {
         let now = self.site.now();
         let fence = with_lease(&self.lease, |l| {
@@ -457,7 +469,7 @@
             Err(_) => "no answer",
         };
         if action == Action::Load && reply.is_err() {
-            self.note_late(subject, expected);
+            self.record_late(subject, expected);
         }
         Metrics::count(&self.site.metrics.orders, outcome);
         tracing::info!(
@@ -497,9 +509,9 @@
     }
 }
 
-/// Gives what an endpoint holds, less what makes way in a move.
-fn left(r: &EndpointReport, m: &ModelMove) -> Holdings {
-    let mut left = r.holdings.clone();
-    left.retain(|name, _| !m.evict.contains(name));
-    left
+/// Returns an endpoint's holdings without the models that a move evicts.
+fn without_evicted(r: &EndpointReport, m: &ModelMove) -> Holdings {
+    let mut remaining = r.holdings.clone();
+    remaining.retain(|name, _| !m.evict.contains(name));
+    remaining
 }
