--- a/crates/limehollow-node/src/lease.rs
+++ b/crates/limehollow-node/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the controller, as the tasks of this process share it.
+//! The controller's lease, shared by the tasks of this process.
 
 use crate::edge::{Feed, Protocol, Store};
 use crate::site::Site;
@@ -10,10 +10,10 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The lease as the tasks of this process share it.
+/// The lease, shared by the tasks of this process.
 pub type SharedLease = Arc<Mutex<GroupLease>>;
 
-/// Uses the lease; it is never held over an `await`.
+/// Calls a function with the locked lease. The lock is never held over an `await`.
 pub fn with_lease<T, F>(lease: &SharedLease, f: F) -> T
 where
     F: FnOnce(&mut GroupLease) -> T,
@@ -21,7 +21,7 @@
     f(&mut lease.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// Gives the fencing number if this VM may give orders now.
+/// Returns the fencing number if this VM may give orders now.
 #[must_use]
 pub fn fence<P>(site: &Site<P>, lease: &SharedLease) -> Option<u64>
 where
@@ -31,11 +31,11 @@
     with_lease(lease, |l| l.fence(now))
 }
 
-/// For how long a VM that has resigned says so: some of its zone's messages may be lost.
-const RESIGNED_FOR: Duration = Duration::from_secs(2);
+/// How long a VM that has resigned publishes that: some of its zone's messages may be lost.
+const RESIGNATION_SENT_FOR: Duration = Duration::from_secs(2);
 
-/// Joins the group again and again while this VM stands for the lease or holds it; leaves it when the process
-/// ends, or when others stand.
+/// Joins the group repeatedly while this VM applies for the lease or holds it. Leaves the group when the
+/// process ends, or when other VMs apply.
 pub async fn maintain_lease<P, S>(
     site: Arc<Site<P>>,
     store: S,
@@ -48,37 +48,38 @@
     let member = format!("{}@{}", site.own_vm, site.settings.load().ip);
     let mut failing = false;
     let mut joined = false;
-    // Whether this VM's lease lapsed in an outage of the store that has not ended yet.
-    let mut waits = false;
+    // Whether this VM's lease lapsed in an outage of the store that hasn't ended yet.
+    let mut holds_over_outage = false;
     loop {
         let stopping = *stop.borrow();
         let sent = site.now();
         if stopping {
             resign(&site, &lease, sent);
-            // Another of the zone may take its place among the candidates.
+            // Another VM of the zone may take this VM's place among the candidates.
             site.view().lease_failing = true;
         }
         if with_lease(&lease, |l| l.has_lapsed(sent)) {
-            waits = failing && is_store_away(&site, sent);
-            lapse(&site, &lease, sent, waits);
-            // One that came back and joined at once would take the lease from who holds it by now.
-            joined = waits;
+            holds_over_outage = failing && is_store_away(&site, sent);
+            lapse(&site, &lease, sent, holds_over_outage);
+            // A VM that joined again at once would take the lease from the VM that holds it by now.
+            joined = holds_over_outage;
         }
-        waits = waits && !with_lease(&lease, |l| l.is_held()) && is_store_away(&site, sent);
-        if waits {
-            say_held(&site, &lease, sent);
+        holds_over_outage =
+            holds_over_outage && !with_lease(&lease, |l| l.is_held()) && is_store_away(&site, sent);
+        if holds_over_outage {
+            publish_held(&site, &lease, sent);
         }
-        let stands = with_lease(&lease, |l| l.is_held()) || stands(&site, sent, joined);
-        if joined && (stopping || !stands) {
+        let should_apply = with_lease(&lease, |l| l.is_held()) || should_apply(&site, sent, joined);
+        if joined && (stopping || !should_apply) {
             if let Err(e) = store.leave(&member).await {
-                tracing::info!(error = %e, "the group could not be left");
+                tracing::info!(error = %e, "failed to leave the group for the lease");
             }
             joined = false;
         }
         if stopping {
             return;
         }
-        if !stands {
+        if !should_apply {
             failing = false;
             site.view().lease_failing = false;
             pause(&site, sent, &mut stop).await;
@@ -89,7 +90,7 @@
         match store.join(&member, generation).await {
             Ok(dealt) => {
                 failing = false;
-                take_in(&site, &lease, sent, dealt);
+                apply_answer(&site, &lease, sent, dealt);
             }
             Err(e) => {
                 if !failing {
@@ -103,9 +104,10 @@
     }
 }
 
-/// Tells whether this VM stands for the lease, which it doesn't hold. One that has joined goes on until another VM
-/// is heard to hold it: each change of the group may move the lease.
-fn stands<P>(site: &Site<P>, now: Instant, joined: bool) -> bool
+/// Returns `true` if this VM, which doesn't hold the lease, should apply for it. Once it has joined, it
+/// continues until another VM is known to hold the lease, since each change of the group may move the
+/// lease.
+fn should_apply<P>(site: &Site<P>, now: Instant, joined: bool) -> bool
 where
     P: Protocol,
 {
@@ -118,8 +120,8 @@
     rank.is_some_and(|r| view.candidacy.may_join(now, r))
 }
 
-/// Takes in the platform's answer, and what this VM says of the lease from now on.
-fn take_in<P>(site: &Site<P>, lease: &SharedLease, sent: Instant, dealt: GroupAssignment)
+/// Applies the platform's answer to a join, and updates the notice that this VM publishes.
+fn apply_answer<P>(site: &Site<P>, lease: &SharedLease, sent: Instant, dealt: GroupAssignment)
 where
     P: Protocol,
 {
@@ -149,7 +151,8 @@
     });
 }
 
-/// Tells whether the store answers nobody, as far as the VMs of this zone say. It can deal the lease to no other VM then.
+/// Returns `true` if the store answers no VM of this zone, as far as their messages show. It can't grant
+/// the lease to another VM then.
 fn is_store_away<P>(site: &Site<P>, now: Instant) -> bool
 where
     P: Protocol,
@@ -160,9 +163,9 @@
     none_reads && view.feed_reads.is_failing(Feed::Endpoints)
 }
 
-/// Has the other VMs take this one for the holder as long as the store is away, so that they don't join: each that does changes
-/// the group, and the lease moves when the store comes back.
-fn say_held<P>(site: &Site<P>, lease: &SharedLease, now: Instant)
+/// Publishes this VM as the holder while the store is away, so that other VMs don't join. Each join changes
+/// the group, and the lease would move when the store comes back.
+fn publish_held<P>(site: &Site<P>, lease: &SharedLease, now: Instant)
 where
     P: Protocol,
 {
@@ -172,8 +175,8 @@
     view.lease_notice = Some((notice, now + TTL));
 }
 
-/// Gives the lease up because it may have passed on, and listens for who holds it. Where the store is away for all, it may
-/// still be this VM's when the store comes back.
+/// Gives up the lease because another VM may hold it by now, and waits for a notice of the holder. If the
+/// store is away for all VMs, the lease may still be this VM's when the store comes back.
 fn lapse<P>(site: &Site<P>, lease: &SharedLease, now: Instant, is_store_away: bool)
 where
     P: Protocol,
@@ -192,7 +195,7 @@
     tracing::info!(is_store_away, "lease lapsed");
 }
 
-/// Gives the lease up, if this VM holds it, and says so.
+/// Gives up the lease if this VM holds it, and publishes that.
 fn resign<P>(site: &Site<P>, lease: &SharedLease, now: Instant)
 where
     P: Protocol,
@@ -202,7 +205,7 @@
         if l.is_held() {
             let notice = notice(site, l, false);
             view.candidacy.observe(now, notice.clone());
-            view.lease_notice = Some((notice, now + RESIGNED_FOR));
+            view.lease_notice = Some((notice, now + RESIGNATION_SENT_FOR));
             site.urgent_update.notify_one();
         }
         l.release();
@@ -222,7 +225,7 @@
     }
 }
 
-/// Waits until the next call is due, the lease is free, or the process is told to end.
+/// Waits until the next call is due, the lease is free, or the process should stop.
 async fn pause<P>(site: &Site<P>, since: Instant, stop: &mut watch::Receiver<bool>)
 where
     P: Protocol,
@@ -231,7 +234,7 @@
     tokio::select! {
         () = next => {}
         () = site.lease_free.notified() => {}
-        // An error says that the process is ending, which the next round sees as well.
-        _told = stop.changed() => {}
+        // An error means that the process is ending, which the next iteration notices as well.
+        _stopped = stop.changed() => {}
     }
 }
