--- a/crates/limehollow-node/src/clock.rs
+++ b/crates/limehollow-node/src/clock.rs
@@ -1,8 +1,10 @@
-//! The clock by which this process reckons ages: the runtime's, and the time for which the machine was suspended.
+//! The clock for ages and deadlines in this process: the runtime's clock plus the time for which the
+//! machine was suspended.
 //!
-//! A suspended machine stands still, and so does the steady clock that the runtime reads: ten seconds later a renewal of
-//! the lease would still look 200 ms old, while another VM holds it by now. The system's boot clock goes on meanwhile. All
-//! that compares times in this process reads [`Clock::now`]; what waits for a time waits with this clock, too.
+//! The monotonic clock that the runtime reads stops while the machine is suspended. After ten seconds of
+//! suspension a renewal of the lease would still look 200 ms old although another VM holds the lease by
+//! now. The system's boot clock continues meanwhile. All code that compares times in this process reads
+//! [`Clock::now`], and all code that waits for a time waits with this clock.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,32 +12,34 @@
 use tokio::sync::Notify;
 use tokio::time::{self, Instant};
 
-/// Where the time that was lost is known from.
+/// The source of the time that was lost to suspensions.
 #[derive(Debug)]
 enum Source {
-    /// The system's clocks, and how far the boot clock was ahead of the steady one at the start.
+    /// The system's clocks. `ahead` is how far the boot clock was ahead of the monotonic clock at the
+    /// start.
     System { ahead: Duration },
-    /// A test.
-    Set(AtomicU64),
+    /// A value that a test sets, in microseconds.
+    Manual(AtomicU64),
 }
 
 /// The clock of one process.
 #[derive(Debug)]
 pub struct Clock {
     source: Source,
-    /// The most that was found to be lost, in microseconds: a reading that was held up between two clocks shows less.
+    /// The largest lost time found so far, in microseconds. A measurement that is interrupted between
+    /// reading the two clocks finds less.
     lost: AtomicU64,
-    /// What of it was said, in microseconds.
-    said: AtomicU64,
+    /// The part of the lost time that was already reported, in microseconds.
+    reported: AtomicU64,
     resumed: Notify,
 }
 
-/// The time that a wait was given has passed.
+/// The error of [`Clock::timeout_at`]: the time came first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
 impl Clock {
-    /// Makes the clock of a process, by the system's clocks.
+    /// Creates the clock of a process, by the system's clocks.
     #[must_use]
     pub fn system() -> Self {
         Self::new(Source::System {
@@ -43,41 +47,41 @@
         })
     }
 
-    /// Makes a clock that loses time only as a test says.
+    /// Creates a clock that loses time only when a test sets it.
     #[must_use]
     pub fn settable() -> Self {
-        Self::new(Source::Set(AtomicU64::new(0)))
+        Self::new(Source::Manual(AtomicU64::new(0)))
     }
 
     fn new(source: Source) -> Self {
         Self {
             source,
             lost: AtomicU64::new(0),
-            said: AtomicU64::new(0),
+            reported: AtomicU64::new(0),
             resumed: Notify::new(),
         }
     }
 
-    /// Lets the machine have been suspended for so long; only where a test sets the clock.
+    /// Simulates a suspension of the machine. Has an effect only on a clock that a test sets.
     pub fn simulate_suspension(&self, time: Duration) {
-        if let Source::Set(lost) = &self.source {
+        if let Source::Manual(lost) = &self.source {
             lost.fetch_add(micros(time), Ordering::Relaxed);
         }
     }
 
-    /// Gives the time now. It goes on while the machine is suspended.
+    /// Returns the current time, which continues while the machine is suspended.
     #[must_use]
     pub fn now(&self) -> Instant {
         Instant::now() + self.lost()
     }
 
-    /// Gives for how long the machine was suspended since the start.
+    /// Returns how long the machine was suspended since the start.
     fn lost(&self) -> Duration {
         let found = match &self.source {
             Source::System { ahead } => {
                 boot_ahead().map_or(0, |now| micros(now.saturating_sub(*ahead)))
             }
-            Source::Set(lost) => lost.load(Ordering::Relaxed),
+            Source::Manual(lost) => lost.load(Ordering::Relaxed),
         };
         let before = self.lost.fetch_max(found, Ordering::Relaxed);
         Duration::from_micros(found.max(before))
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Waits for something until a time.
+    /// Waits for a future until a time.
     ///
     /// # Errors
     ///
@@ -114,31 +118,33 @@
         }
     }
 
-    /// Looks whether time was lost since the last look; if so, all that waits with this clock reckons anew. Gives how much
-    /// it was.
+    /// Returns the time that was lost since the last call, if it counts as a suspension. In that case,
+    /// everything that waits with this clock recomputes its deadline.
     pub fn detect_suspension(&self) -> Option<Duration> {
         let lost = micros(self.lost());
-        let said = self.said.load(Ordering::Relaxed);
-        let more = Duration::from_micros(lost.saturating_sub(said));
-        if more < NOTICED {
+        let reported = self.reported.load(Ordering::Relaxed);
+        let more = Duration::from_micros(lost.saturating_sub(reported));
+        if more < MIN_SUSPENSION {
             return None;
         }
-        self.said.store(lost, Ordering::Relaxed);
+        self.reported.store(lost, Ordering::Relaxed);
         self.resumed.notify_waiters();
         Some(more)
     }
 }
 
-/// What counts as a suspension: clocks that are corrected a little differ by less.
-const NOTICED: Duration = Duration::from_millis(20);
+/// The least time that counts as a suspension: small corrections of the clocks make them differ by less.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Gives how far the boot clock is ahead of the steady one; none where the system has no such clock.
+/// Returns how far the boot clock is ahead of the monotonic clock, or `None` if the system has no boot
+/// clock.
 ///
-/// The steady clock is read last: held up between the two, the result is too small, never too large.
+/// The monotonic clock is read last. If the process is interrupted between the two, the result is too
+/// small, never too large.
 fn boot_ahead() -> Option<Duration> {
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?;
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
-    Some(Duration::from(boot).saturating_sub(Duration::from(steady)))
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).ok()?;
+    Some(Duration::from(boot).saturating_sub(Duration::from(monotonic)))
 }
 
 fn micros(d: Duration) -> u64 {
