--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the process together.
+//! Starts the tasks of the process.
 
 use crate::counting_store::CountingStore;
 use crate::edge::{Feed, Protocol, Store};
@@ -22,14 +22,14 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::interval;
 
-/// How often the settings file is looked at: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
-/// How often what operators see of readiness is brought up to date.
-const SHOW_EVERY: Duration = Duration::from_secs(1);
-/// Dumps that may wait at once.
-const DUMPS: usize = 4;
+/// How often the settings file is checked for changes: it may change without a signal.
+const CHECK_SETTINGS_EVERY: Duration = Duration::from_secs(2);
+/// How often the readiness and the gauges that operators see are updated.
+const UPDATE_METRICS_EVERY: Duration = Duration::from_secs(1);
+/// The largest number of pending requests for a dump.
+const MAX_PENDING_DUMPS: usize = 4;
 
-/// Runs the process until it is told to end.
+/// Runs the process until it is asked to stop.
 ///
 /// # Errors
 ///
@@ -56,8 +56,8 @@
     let gossip_socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
     let store = CountingStore::new(store, &site.metrics);
     let (stop_tx, stop) = watch::channel(false);
-    let wanted = Arc::new(Notify::new());
-    tokio::spawn(start_following(Arc::clone(&site), store.clone()));
+    let wake_controller = Arc::new(Notify::new());
+    tokio::spawn(start_followers(Arc::clone(&site), store.clone()));
     tokio::spawn(start::announce(Arc::clone(&site), store.clone()));
     tokio::spawn(quarantine_sync::sync_with_peers(
         Arc::clone(&site),
@@ -66,7 +66,7 @@
     tokio::spawn(gossip::send(
         Arc::clone(&site),
         Arc::clone(&gossip_socket),
-        Arc::clone(&wanted),
+        Arc::clone(&wake_controller),
     ));
     tokio::spawn(gossip::send_questions(
         Arc::clone(&site),
@@ -77,28 +77,28 @@
     tokio::spawn(gossip::receive(
         Arc::clone(&site),
         gossip_socket,
-        Arc::clone(&wanted),
+        Arc::clone(&wake_controller),
     ));
     tokio::spawn(gossip::sweep(Arc::clone(&site)));
     tokio::spawn(traffic::log_totals(Arc::clone(&site)));
     tokio::spawn(controller::run(
         Arc::clone(&site),
         store,
-        wanted,
+        wake_controller,
         stop.clone(),
     ));
     tokio::spawn(peer_state::serve(Arc::clone(&site), states));
     tokio::spawn(caller::serve_readiness(Arc::clone(&site), balancer));
-    tokio::spawn(serve_operators(Arc::clone(&site)));
+    tokio::spawn(serve_admin(Arc::clone(&site)));
     tokio::spawn(reload(Arc::clone(&site), path));
-    tokio::spawn(stop_when_told(Arc::clone(&site), stop_tx));
+    tokio::spawn(stop_on_signal(Arc::clone(&site), stop_tx));
     caller::serve(site, callers, stop).await;
     tracing::info!("stop");
     Ok(())
 }
 
-/// Gets to know the site, then follows what the store keeps.
-async fn start_following<P, S>(site: Arc<Site<P>>, store: S)
+/// Fetches the site's state, then follows the feeds of the store.
+async fn start_followers<P, S>(site: Arc<Site<P>>, store: S)
 where
     P: Protocol,
     S: Store,
@@ -125,7 +125,7 @@
     .build()
 }
 
-async fn stop_when_told<P>(site: Arc<Site<P>>, stop: watch::Sender<bool>)
+async fn stop_on_signal<P>(site: Arc<Site<P>>, stop: watch::Sender<bool>)
 where
     P: Protocol,
 {
@@ -137,15 +137,15 @@
     std::future::pending::<()>().await;
 }
 
-/// Serves metrics and a dump of state, and keeps what they show up to date.
-async fn serve_operators<P>(site: Arc<Site<P>>)
+/// Serves metrics and a dump of the state, and keeps them up to date.
+async fn serve_admin<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
 {
     let settings = site.settings.load_full();
     let address = SocketAddr::new(settings.ip, settings.admin_port).to_string();
     let (ready_tx, ready) = watch::channel(Readiness::Not("starting".to_owned()));
-    let (dumps, mut asked) = mpsc::channel::<DumpRequest>(DUMPS);
+    let (dumps, mut dump_requests) = mpsc::channel::<DumpRequest>(MAX_PENDING_DUMPS);
     let admin = Admin {
         registry: Arc::new(site.metrics.registry()),
         ready,
@@ -155,10 +155,10 @@
     let routes = operator::routes(&site);
     tokio::spawn(async move {
         if let Err(e) = admin::serve(&address, admin, routes, forever).await {
-            tracing::error!(error = %e, "operators can't reach this process");
+            tracing::error!(error = %e, "failed to serve the admin address");
         }
     });
-    let mut ticks = interval(SHOW_EVERY);
+    let mut ticks = interval(UPDATE_METRICS_EVERY);
     loop {
         tokio::select! {
             _ = ticks.tick() => {
@@ -171,15 +171,15 @@
                 site.update_quarantine_metrics();
                 site.update_backpressure_metrics();
             }
-            Some(d) = asked.recv() => {
-                // Who asked may have gone.
+            Some(d) = dump_requests.recv() => {
+                // The requester may be gone.
                 let _gone = d.send(site.dump());
             }
         }
     }
 }
 
-/// Reads the settings again on SIGHUP, and when the file has changed without one.
+/// Reloads the settings on SIGHUP, or when the file has changed.
 async fn reload<P>(site: Arc<Site<P>>, path: PathBuf)
 where
     P: Protocol,
@@ -187,28 +187,30 @@
     let mut hup = match signal(SignalKind::hangup()) {
         Ok(s) => s,
         Err(e) => {
-            tracing::error!(error = %e, "SIGHUP can't be listened to");
+            tracing::error!(error = %e, "failed to listen for SIGHUP");
             return;
         }
     };
-    let mut ticks = interval(LOOK_EVERY);
-    let mut seen = modified(&path);
+    let mut ticks = interval(CHECK_SETTINGS_EVERY);
+    let mut last_modified = modified(&path);
     loop {
-        let told = tokio::select! {
+        let by_signal = tokio::select! {
             _ = ticks.tick() => false,
             _ = hup.recv() => true,
         };
         let at = modified(&path);
-        if !told && at == seen {
+        if !by_signal && at == last_modified {
             continue;
         }
-        seen = at;
+        last_modified = at;
         match settings::load::<NodeSettings>(&path) {
             Ok(s) => {
-                tracing::info!(told, "settings read again");
+                tracing::info!(told = by_signal, "settings read again");
                 site.settings.store(Arc::new(s));
             }
-            Err(e) => tracing::warn!(error = %e, "settings are not valid; the last good ones stay"),
+            Err(e) => {
+                tracing::warn!(error = %e, "the settings are invalid; keeping the previous ones")
+            }
         }
     }
 }
