--- a/crates/limehollow-node/src/settings.rs
+++ b/crates/limehollow-node/src/settings.rs
@@ -13,33 +13,34 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// The span over which requests to a cold endpoint are summed.
+/// The window in which requests to a cold endpoint are counted.
 const COLD_WINDOW: Duration = Duration::from_secs(1);
 
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// The part of its link that a VM's messages to others may take.
-const MESSAGES_SHARE: f64 = 0.125;
+/// The share of its link that a VM's messages to other VMs may use.
+const GOSSIP_SHARE: f64 = 0.125;
 
-/// The part of its descriptors that connections of callers may take; endpoints, the store and files need some too.
+/// The share of the descriptors that connections of callers may use. Endpoints, the store and files need
+/// some too.
 const CALLERS_SHARE: f64 = 0.6;
 
-/// How the process decides, where there is more than one way.
+/// Choices between different ways to decide.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Who chooses the endpoint for a request.
+    /// Which VM chooses the endpoint for a request.
     pub choice: ChoicePolicy,
 }
 
-/// Who chooses the endpoint for a request.
+/// Which VM chooses the endpoint for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChoicePolicy {
-    /// The VM that keeps the places of its model's endpoints.
+    /// The coordinator that assigns the model's endpoints.
     #[default]
     #[serde(rename = "keeper")]
     Coordinator,
-    /// The VM that has the request, by what it knows.
+    /// The VM that has the request, by its own view.
     Own,
 }
 
@@ -48,37 +49,39 @@
 pub struct NodeSettings {
     /// The name of this VM.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of this VM.
     pub availability_zone: String,
-    /// Its IP number.
+    /// The IP address of this VM.
     pub ip: IpAddr,
-    /// Where callers reach it, as `IP:PORT`.
+    /// The address for callers, as `IP:PORT`.
     pub address: String,
-    /// Where the balancer before it asks whether it is ready, as `IP:PORT`.
+    /// The address on which a load balancer checks readiness, as `IP:PORT`.
     pub readiness_address: String,
-    /// The port for datagrams between VMs; the same on all.
+    /// The port for datagrams between VMs, the same on all VMs.
     pub peer_port: u16,
-    /// The port for operators: metrics, and a dump of state.
+    /// The port for operators: metrics, and a dump of the state.
     pub admin_port: u16,
-    /// Some VMs to begin with when the store is away, as `IP:PORT`; the port is of no matter.
+    /// The VMs that a VM contacts first at its start or while the store is away, as `IP:PORT`. The port is
+    /// ignored.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// The part of a processor core that this VM has.
+    /// The number of processor cores of this VM; may be a fraction.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// What this VM's link carries each way, in Mbit/s.
+    /// The bandwidth of this VM's link in each direction, in Mbit/s.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// How many descriptors the process may have open.
+    /// The limit of open file descriptors of the process.
     #[serde(default = "default_descriptors")]
     pub descriptors: u32,
-    /// The platform's store, as `IP:PORT`.
+    /// The address of the platform's store, as `IP:PORT`.
     pub store_address: String,
-    /// How long the process has to end after it was told to, in ms.
+    /// How long the process may take to stop, in ms.
     pub grace_ms: u64,
-    /// How long orders of two holders of the lease have to be apart, in ms.
+    /// The least time between orders of two holders of the lease, in ms.
     pub lease_ms: u64,
-    /// The time after which an endpoint that leaves gets no new work, from the platform's acknowledgement on, in ms.
+    /// The time after which a leaving endpoint gets no new work, counted from the platform's
+    /// acknowledgement, in ms.
     #[serde(default = "default_in_force_ms")]
     pub leaving_ms: u64,
     /// The time after which a configuration is in force on all VMs, in ms.
@@ -87,72 +90,73 @@
     /// The time after which an evacuated zone gets no new work, in ms; none where zones aren't evacuated.
     #[serde(default)]
     pub evacuation_ms: Option<u64>,
-    /// The time after which a key that operators took away is of no use on any VM, in ms; none where only VMs that reach the
-    /// store are bound.
+    /// The time after which a key that operators removed is rejected on every VM, in ms; none if that is
+    /// required only of VMs that reach the store.
     #[serde(default)]
     pub key_removal_ms: Option<u64>,
-    /// The window over which what a workspace uses is summed, in ms.
+    /// The window in which a workspace's usage is summed, in ms.
     #[serde(default = "default_quota_window_ms")]
     pub quota_window_ms: u64,
-    /// The part of a workspace's limit that all VMs together may use beyond it.
+    /// The fraction of a workspace's limit by which all VMs together may exceed it.
     #[serde(default)]
     pub quota_over: f64,
-    /// Tokens that they may use on top.
+    /// Tokens by which all VMs together may exceed it in addition.
     #[serde(default)]
     pub quota_slack: f64,
-    /// How many times its rate a cold endpoint bears.
+    /// The factor on the rate of a cold endpoint that all VMs together may send.
     #[serde(default = "default_cold_over")]
     pub cold_over: f64,
-    /// Requests that it bears on top.
+    /// Requests to a cold endpoint that are allowed in addition.
     #[serde(default = "default_cold_slack")]
     pub cold_slack: f64,
     /// The region of each zone.
     #[serde(default)]
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// Repeats that are allowed for each request.
+    /// The number of retries that are allowed per request.
     pub repeat_ratio: f64,
-    /// Repeats that are allowed on top, over all VMs.
+    /// Retries that are allowed in addition, over all VMs.
     pub repeat_slack: f64,
-    /// The window in which repeats are counted, in ms.
+    /// The window in which retries are counted, in ms.
     pub repeat_window_ms: u64,
     /// The window in which loads from the weight store are counted, in ms.
     pub load_window_ms: u64,
-    /// The factor on the weight store's rate.
+    /// The factor on the weight store's rate that is allowed.
     pub load_over: f64,
-    /// How the process decides, where there is more than one way.
+    /// Choices between different ways to decide.
     #[serde(default)]
     pub policy: Policy,
-    /// Loads that are allowed on top of it.
+    /// Loads from the weight store that are allowed in addition.
     #[serde(default = "default_load_slack")]
     pub load_slack: f64,
 }
 
-/// What an entry VM of today's sites has.
+/// The cores of an entry VM on today's sites.
 fn default_cores() -> f64 {
     0.25
 }
 
-/// What an entry VM of today's small sites has.
+/// The bandwidth of an entry VM on today's small sites.
 fn default_link_mbps() -> f64 {
     1000.0
 }
 
-/// What an entry VM of today's small sites has.
+/// The descriptor limit of an entry VM on today's small sites.
 fn default_descriptors() -> u32 {
     4_100
 }
 
-/// The bound of today's small sites, the tightest of all.
+/// The bound of today's small sites, the tightest of all sites.
 fn default_in_force_ms() -> u64 {
     2_000
 }
 
-/// Long enough that the burst counts little, short enough that callers notice no gap.
+/// Long enough that a burst counts little, short enough that callers notice no
+/// gap.
 fn default_quota_window_ms() -> u64 {
     10_000
 }
 
-/// What a cold endpoint bears beyond its rate where a site says nothing else.
+/// The load that a cold endpoint accepts beyond its rate if the site states nothing else.
 fn default_cold_over() -> f64 {
     1.5
 }
@@ -161,19 +165,19 @@
     5.0
 }
 
-/// What the site's rules allow on top of the weight store's rate.
+/// What the rules of the site allow beyond the weight store's rate.
 fn default_load_slack() -> f64 {
     3.0
 }
 
 impl NodeSettings {
-    /// Gives where this VM's datagrams arrive.
+    /// Returns the address for this VM's datagrams.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peer_port)
     }
 
-    /// Gives the processor in thousandths of a core.
+    /// Returns the processor of this VM in thousandths of a core.
     #[must_use]
     pub fn millicores(&self) -> u32 {
         #[expect(
@@ -185,13 +189,14 @@
         millicores
     }
 
-    /// Gives how many bytes a second this VM may say to others, so that callers have the rest of its link.
+    /// Returns the bytes per second that this VM may send to other VMs, so that the rest of its link is
+    /// left to callers.
     #[must_use]
     pub fn gossip_bytes_per_s(&self) -> f64 {
-        self.link_mbps * BYTES_PER_MBIT * MESSAGES_SHARE
+        self.link_mbps * BYTES_PER_MBIT * GOSSIP_SHARE
     }
 
-    /// Gives how many connections of callers may be open at once.
+    /// Returns the largest number of open connections of callers.
     #[must_use]
     pub fn max_caller_connections(&self) -> usize {
         #[expect(
@@ -203,7 +208,7 @@
         most
     }
 
-    /// Gives when a feed is read, for those that have a bound on their age.
+    /// Returns the read intervals of a feed, or `None` if the age of its copy has no bound.
     #[must_use]
     pub fn pace(&self, feed: Feed) -> Option<ReadPace> {
         match feed {
@@ -213,27 +218,27 @@
         }
     }
 
-    /// Gives when the list of endpoints is read.
+    /// Returns the read intervals of the list of endpoints.
     #[must_use]
     pub fn list_pace(&self) -> ReadPace {
         ReadPace::list(Duration::from_millis(self.leaving_ms))
     }
 
-    /// Gives when the configuration is read, beside calls that wait for its changes.
+    /// Returns the read intervals of the configuration, beside calls that wait for its changes.
     #[must_use]
     pub fn configuration_pace(&self) -> ReadPace {
         let evacuation = self.evacuation_ms.unwrap_or(u64::MAX);
         ReadPace::configuration(Duration::from_millis(self.configuration_ms.min(evacuation)))
     }
 
-    /// Gives for how long keys count, where that is bound.
+    /// Returns how long keys are accepted without a fresh configuration, if that has a bound.
     #[must_use]
     pub fn key_bound(&self) -> Option<KeyBound> {
         let bound = self.key_removal_ms.map(Duration::from_millis);
         bound.map(KeyBound::new)
     }
 
-    /// Gives how far all VMs together may go beyond workspaces' limits.
+    /// Returns by how much all VMs together may exceed workspaces' limits.
     #[must_use]
     pub fn quota_allowance(&self) -> Allowance {
         Allowance {
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Gives how far all VMs together may go beyond what a cold endpoint takes.
+    /// Returns by how much all VMs together may exceed the rate of a cold endpoint.
     #[must_use]
     pub fn cold_allowance(&self) -> Allowance {
         Allowance {
@@ -253,19 +258,20 @@
         }
     }
 
-    /// Gives the zones in which a request may run, by the regions that are named for it; none where it may run in any.
+    /// Returns the zones in which a request may run, by the regions that are named for it, or `None` if it
+    /// may run in any.
     #[must_use]
     pub fn zones_in_regions(&self, homes: &[&[RegionName]]) -> Option<BTreeSet<ZoneName>> {
         let named: Vec<_> = homes.iter().filter(|h| !h.is_empty()).collect();
         if named.is_empty() {
             return None;
         }
-        let is_home = |r: &RegionName| named.iter().all(|h| h.contains(r));
-        let zones = self.regions.iter().filter(|(_, r)| is_home(r));
+        let is_allowed = |r: &RegionName| named.iter().all(|h| h.contains(r));
+        let zones = self.regions.iter().filter(|(_, r)| is_allowed(r));
         Some(zones.map(|(z, _)| z.clone()).collect())
     }
 
-    /// Gives the budget for repeats.
+    /// Returns the budget for retries.
     #[must_use]
     pub fn repeat_allowance(&self) -> RepeatAllowance {
         RepeatAllowance {
@@ -275,7 +281,7 @@
         }
     }
 
-    /// Gives what the weight store allows.
+    /// Returns the limit on loads from the weight store.
     #[must_use]
     pub fn load_ceiling(&self) -> LoadCeiling {
         LoadCeiling {
