--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -251,7 +251,6 @@
             self.rotate_limits(backpressure.active_limits().collect())
         } else {
             backpressure
-                
                 .recent_changes(now, RATE_SENT_FOR)
                 .take(MAX_RATES)
                 .collect()
