--- a/crates/limehollow-node/src/caller.rs
+++ b/crates/limehollow-node/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, the answer to the balancer's question, and how the process ends.
+//! Accepts callers' connections, answers the load balancer's readiness checks, and drains connections on shutdown.
 
 use crate::edge::Protocol;
 use crate::logging::may_log;
@@ -22,21 +22,22 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How long a caller's connection may be at rest as long as no configuration says it.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
-/// The least that the HTTP library takes as the bound of a head.
-const MIN_HEAD: usize = 8192;
-/// The bound of a head as long as no configuration says it.
-const DEFAULT_HEAD: usize = 16 << 10;
-/// How long a process that was told to end goes on taking connections: the balancer asks every second
-/// and turns away after two misses. Requests that come later can't be sure to end in the grace.
+/// The idle timeout of a caller's connection while there is no configuration.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The smallest head limit that hyper accepts, in bytes.
+const MIN_HEAD_BYTES: usize = 8192;
+/// The head limit while there is no configuration, in bytes.
+const DEFAULT_HEAD_BYTES: usize = 16 << 10;
+/// How long a process goes on accepting connections after the signal to stop: the load balancer checks every second
+/// and stops routing after two failed checks. Requests that arrive later aren't sure to end within the grace period.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2800);
-/// The part of a short grace that this takes at most: what was taken last has to end in the rest.
+/// The maximum share of a short grace period for [`ACCEPT_AFTER_STOP`]: the requests accepted last have to end within
+/// the rest of the period.
 const ACCEPT_AFTER_STOP_SHARE: f64 = 0.35;
-/// How much before the end of the grace what is left is cut, so that the process ends by itself.
-const CUT_BEFORE: Duration = Duration::from_millis(300);
+/// How long before the end of the grace period open connections are cut, so that the process exits by itself.
+const CUT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Serves callers until the process is told to end and what it has is done.
+/// Serves callers until the signal to stop, then until their requests have ended or the grace period is over.
 pub async fn serve<P>(site: Arc<Site<P>>, listener: TcpListener, mut stop: watch::Receiver<bool>)
 where
     P: Protocol + Unpin,
@@ -45,25 +46,25 @@
     let accept_after_stop = accept_after_stop(grace);
     let (closing_tx, closing) = watch::channel(false);
     let mut connections = JoinSet::new();
-    let crowd = Arc::new(Crowd::default());
+    let pressure = Arc::new(ConnectionPressure::default());
     let stopped = async move {
-        // The sender lives as long as the process.
+        // The sender lives as long as the process, so the wait can't fail.
         drop(stop.wait_for(|s| *s).await);
         sleep(accept_after_stop).await;
     };
     tokio::pin!(stopped);
     loop {
         let most = site.settings.load().max_caller_connections();
-        crowd.note(connections.len(), most);
+        pressure.update(connections.len(), most);
         tokio::select! {
             () = &mut stopped => break,
             accepted = listener.accept(), if connections.len() < most => match accepted {
                 Ok((stream, from)) => {
-                    let (site, crowd) = (Arc::clone(&site), Arc::clone(&crowd));
-                    connections.spawn(connection(site, crowd, stream, from.ip(), closing.clone()));
+                    let (site, pressure) = (Arc::clone(&site), Arc::clone(&pressure));
+                    connections.spawn(connection(site, pressure, stream, from.ip(), closing.clone()));
                 }
                 Err(e) => {
-                    tracing::warn!(error = %e, "a connection could not be accepted");
+                    tracing::warn!(error = %e, "a caller's connection could not be accepted");
                     sleep(ACCEPT_PAUSE).await;
                 }
             },
@@ -72,24 +73,24 @@
     }
     drop(listener);
     let _nobody = closing_tx.send(true);
-    let end = site.now() + grace.saturating_sub(accept_after_stop + CUT_BEFORE);
+    let end = site.now() + grace.saturating_sub(accept_after_stop + CUT_MARGIN);
     while let Ok(Some(_ended)) = site.clock.timeout_at(end, connections.join_next()).await {}
     tracing::info!(left = connections.len(), "callers served");
 }
 
-/// Whether so many callers have connections open that those at rest are better closed.
+/// Whether so many connections of callers are open that each is closed after its answer instead of being kept idle.
 #[derive(Debug, Default)]
-struct Crowd {
-    is_large: AtomicBool,
+struct ConnectionPressure {
+    is_high: AtomicBool,
 }
 
-impl Crowd {
-    fn note(&self, open: usize, most: usize) {
-        let was_large = self.is_large();
-        // It ends well below where it begins, or it would change with each connection.
-        let is_large = open >= if was_large { most / 4 } else { most / 2 };
-        self.is_large.store(is_large, Ordering::Relaxed);
-        if is_large && !was_large && may_log() {
+impl ConnectionPressure {
+    fn update(&self, open: usize, most: usize) {
+        let was_high = self.is_high();
+        // Hysteresis: the pressure ends well below the count at which it begins, or it would change with each connection.
+        let is_high = open >= if was_high { most / 4 } else { most / 2 };
+        self.is_high.store(is_high, Ordering::Relaxed);
+        if is_high && !was_high && may_log() {
             tracing::warn!(
                 open,
                 most,
@@ -98,12 +99,12 @@
         }
     }
 
-    fn is_large(&self) -> bool {
-        self.is_large.load(Ordering::Relaxed)
+    fn is_high(&self) -> bool {
+        self.is_high.load(Ordering::Relaxed)
     }
 }
 
-/// Gives how long a process with this grace goes on taking connections after it was told to end.
+/// Returns how long a process with this grace period goes on accepting connections after the signal to stop.
 #[must_use]
 pub fn accept_after_stop(grace: Duration) -> Duration {
     ACCEPT_AFTER_STOP.min(grace.mul_f64(ACCEPT_AFTER_STOP_SHARE))
@@ -111,7 +112,7 @@
 
 async fn connection<P>(
     site: Arc<Site<P>>,
-    crowd: Arc<Crowd>,
+    pressure: Arc<ConnectionPressure>,
     stream: TcpStream,
     from: IpAddr,
     mut closing: watch::Receiver<bool>,
@@ -119,16 +120,18 @@
     P: Protocol + Unpin,
 {
     if let Err(e) = stream.set_nodelay(true) {
-        tracing::debug!(error = %e, "a caller's connection can't be tuned");
+        tracing::debug!(error = %e, "can't set TCP_NODELAY on a caller's connection");
     }
     let limits = site.catalog.load().as_ref().map(|c| c.limits);
-    let idle = limits.map_or(DEFAULT_IDLE, |l| l.idle_timeout);
-    let head = limits.map_or(DEFAULT_HEAD, |l| l.head_bytes).max(MIN_HEAD);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |l| l.idle_timeout);
+    let head = limits
+        .map_or(DEFAULT_HEAD_BYTES, |l| l.head_bytes)
+        .max(MIN_HEAD_BYTES);
     let service = service_fn(move |req| {
-        let (site, crowd) = (Arc::clone(&site), Arc::clone(&crowd));
+        let (site, pressure) = (Arc::clone(&site), Arc::clone(&pressure));
         async move {
             let mut res = request::handle(site, from, req).await?;
-            if crowd.is_large() {
+            if pressure.is_high() {
                 let close = HeaderValue::from_static("close");
                 res.headers_mut().insert(header::CONNECTION, close);
             }
@@ -141,22 +144,22 @@
         .max_buf_size(head)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(served);
-    // The guard that the wait gives isn't held over what follows.
-    let told = async { drop(closing.wait_for(|c| *c).await) };
+    // The guard that `wait_for` returns is dropped at once: it must not be held across the shutdown.
+    let shutdown = async { drop(closing.wait_for(|c| *c).await) };
     let ended = tokio::select! {
         ended = &mut served => ended,
-        () = told => {
+        () = shutdown => {
             served.as_mut().graceful_shutdown();
             served.await
         }
     };
-    // A caller that leaves is no event; a streamed answer that breaks off has its line already.
+    // A caller that disconnects isn't worth more than a debug line; a streamed answer that breaks off is logged already.
     if let Err(e) = ended {
         tracing::debug!(error = %e, "a caller's connection ended");
     }
 }
 
-/// Answers the balancer's question until the process ends.
+/// Answers the load balancer's readiness checks until the process ends.
 pub async fn serve_readiness<P>(site: Arc<Site<P>>, listener: TcpListener)
 where
     P: Protocol,
@@ -171,5 +174,5 @@
         *res.status_mut() = status;
         res
     };
-    small_server::serve(listener, "balancer", DEFAULT_IDLE, answer).await;
+    small_server::serve(listener, "balancer", DEFAULT_IDLE_TIMEOUT, answer).await;
 }
