--- a/crates/limehollow/src/order/choose.rs
+++ b/crates/limehollow/src/order/choose.rs
@@ -32,7 +32,8 @@
         // Holders are staggered by the order of their zones, so that only one of them proposes a plan. The
         // first one doesn't wait.
         let rank = fleet.leases().take_while(|(z, _)| **z != self.zone).count();
-        let propose_at = since + self.rules.plan_timeout / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
+        let propose_at =
+            since + self.rules.plan_timeout / 4 * u32::try_from(rank).unwrap_or(u32::MAX);
         let all_seen = self.all_listed_are_seen(fleet);
         if now < propose_at || !all_seen && now < propose_at + self.rules.plan_timeout {
             return;
@@ -352,7 +353,11 @@
             if is_repeat && self.has_enough(&s.model.name) {
                 return;
             }
-            let cause = if is_repeat { Cause::Repair } else { Cause::Plan };
+            let cause = if is_repeat {
+                Cause::Repair
+            } else {
+                Cause::Plan
+            };
             self.issue(s.place.clone(), s.action, s.model.clone(), s.bytes, cause);
         }
     }
--- a/crates/limehollow/tests/restarts.rs
+++ b/crates/limehollow/tests/restarts.rs
@@ -104,7 +104,11 @@
 fn list_without_start_after_listed_start() {
     let mut r = listed(FIRST, &["big-0"]);
     r.apply_entry(Instant::now(), entry(None, &["big-0"]));
-    assert_eq!(r.len(), 0, "an entry by another writer removes the endpoint");
+    assert_eq!(
+        r.len(),
+        0,
+        "an entry by another writer removes the endpoint"
+    );
     assert!(
         r.apply_entry(Instant::now(), entry(FIRST, &["big-0"]))
             .is_new
@@ -127,7 +131,11 @@
         &holdings_report(FIRST, 9, &["big-0", "big-1"]),
     );
     r.apply_entry(Instant::now(), entry(SECOND, &[]));
-    assert_eq!(held(&r), Vec::<String>::new(), "the later start holds nothing");
+    assert_eq!(
+        held(&r),
+        Vec::<String>::new(),
+        "the later start holds nothing"
+    );
     let late = r.apply_report(Instant::now(), &holdings_report(FIRST, 10, &["big-0"]));
     assert!(!late.is_new);
     assert_eq!(held(&r), Vec::<String>::new());
@@ -159,7 +167,10 @@
     let service = llm();
     let (_, e) = r.open(&service).next().expect("the later start is open");
     assert_eq!(e.instance, instance(SECOND));
-    assert!(e.copies.is_empty(), "the copies at the later start are unknown");
+    assert!(
+        e.copies.is_empty(),
+        "the copies at the later start are unknown"
+    );
     // What other VMs report of the former start doesn't apply to the later one.
     assert_eq!(r.find(&instance(FIRST)), None);
     assert_eq!(r.find(&instance(SECOND)), r.key("i-0"));
