--- a/crates/limehollow/tests/admission.rs
+++ b/crates/limehollow/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which request goes when, and which is refused at once.
+//! Tests admission control: which requests start, wait or are refused, and in which order.
 
 mod traffic;
 
@@ -12,19 +12,19 @@
 use limehollow::verdict::Failure;
 use std::time::Duration;
 use tokio::time::Instant;
-use traffic::{key, offer, table};
+use traffic::{admission_request, key, table};
 
 const ONE: [(&str, &str); 1] = [("a", "a1")];
 
-struct Gate {
+struct Gateway {
     t: Instant,
     table: Table,
     admission: Admission,
     key: EndpointKey,
 }
 
-impl Gate {
-    /// One engine, whose answers are known to take 100 ms and 10 ms for each further token.
+impl Gateway {
+    /// Creates a gateway with one engine, whose recorded answers take 100 ms and 10 ms for each further token.
     fn new() -> Self {
         let (table, _) = table(&ONE);
         let key = key(&table, "a1");
@@ -44,34 +44,34 @@
         }
     }
 
-    fn offer(&mut self, caller: &str, deadline_ms: u64) -> AdmissionDecision {
-        let o = offer(self.t, caller, deadline_ms);
-        self.admission.admit(self.t, &self.table, o)
+    fn admit(&mut self, caller: &str, deadline_ms: u64) -> AdmissionDecision {
+        let request = admission_request(self.t, caller, deadline_ms);
+        self.admission.admit(self.t, &self.table, request)
     }
 
-    fn offer_at(&mut self, caller: &str, priority: Priority) -> AdmissionDecision {
-        let o = limehollow::admission::AdmissionRequest {
+    fn admit_with_priority(&mut self, caller: &str, priority: Priority) -> AdmissionDecision {
+        let request = limehollow::admission::AdmissionRequest {
             priority,
-            ..offer(self.t, caller, 600_000)
+            ..admission_request(self.t, caller, 600_000)
         };
-        self.admission.admit(self.t, &self.table, o)
+        self.admission.admit(self.t, &self.table, request)
     }
 
     /// Fills the engine's eight slots.
     fn fill(&mut self) {
         for _ in 0..8 {
             assert!(matches!(
-                self.offer("filler", 60_000),
+                self.admit("filler", 60_000),
                 AdmissionDecision::Start(_)
             ));
         }
     }
 
     fn finish_one(&mut self) -> Vec<(Ticket, QueueDecision)> {
-        let ending = AttemptOutcome::Completed {
+        let outcome = AttemptOutcome::Completed {
             first: Duration::from_millis(100),
         };
-        self.admission.finish(self.t, self.key, ending);
+        self.admission.finish(self.t, self.key, outcome);
         self.admission.poll(self.t, &self.table)
     }
 }
@@ -86,83 +86,83 @@
 fn refusal(a: AdmissionDecision) -> Refusal {
     match a {
         AdmissionDecision::Refuse(r) => r,
-        other => panic!("{other:?} is no refusal"),
+        other => panic!("{other:?} is not a refusal"),
     }
 }
 
 #[test]
-fn offer_without_target() {
+fn admit_without_target() {
     let (table, _) = table(&[]);
     let mut a = Admission::new("a".into());
     let t = Instant::now();
     assert_eq!(
-        refusal(a.admit(t, &table, offer(t, "c", 1_000))).reason,
+        refusal(a.admit(t, &table, admission_request(t, "c", 1_000))).reason,
         Reason::NoTarget
     );
 }
 
 #[test]
-fn offer_that_all_have_failed() {
-    // Waiting can't help it, so it isn't held until its deadline.
-    let mut g = Gate::new();
-    let mut o = offer(g.t, "c", 60_000);
-    o.failed.push(g.key);
-    let r = refusal(g.admission.admit(g.t, &g.table, o));
+fn admit_after_failures_of_all_endpoints() {
+    // Queueing can't help the request, so it is refused at once instead of at its deadline.
+    let mut g = Gateway::new();
+    let mut request = admission_request(g.t, "c", 60_000);
+    request.failed.push(g.key);
+    let r = refusal(g.admission.admit(g.t, &g.table, request));
     assert_eq!(r.reason, Reason::NoTarget);
 }
 
 #[test]
-fn offer_too_late_is_refused_at_once() {
-    let mut g = Gate::new();
+fn admit_refuses_a_late_request_at_once() {
+    let mut g = Gateway::new();
     g.fill();
-    // 190 ms of service and some wait don't fit into 150 ms.
-    let r = refusal(g.offer("c", 150));
+    // The service time of 190 ms and the queueing time exceed 150 ms.
+    let r = refusal(g.admit("c", 150));
     assert_eq!(r.reason, Reason::TooLate);
     assert!(r.retry_after >= Duration::from_secs(1));
-    ticket(g.offer("c", 1_000));
+    ticket(g.admit("c", 1_000));
 }
 
 #[test]
-fn offer_idle_learns_again() {
-    // A wrong estimate must not refuse everything for ever: an idle gateway lets one try.
-    let mut g = Gate::new();
-    assert!(matches!(g.offer("c", 50), AdmissionDecision::Start(_)));
-    assert_eq!(refusal(g.offer("c", 50)).reason, Reason::TooLate);
+fn admit_one_when_idle_despite_the_estimate() {
+    // A wrong estimate must not refuse all requests permanently: an idle gateway admits one.
+    let mut g = Gateway::new();
+    assert!(matches!(g.admit("c", 50), AdmissionDecision::Start(_)));
+    assert_eq!(refusal(g.admit("c", 50)).reason, Reason::TooLate);
 }
 
 #[test]
-fn poll_gives_up_before_the_deadline() {
-    // A waiting request is refused when it can't make it any more, not when its time is over.
-    let mut g = Gate::new();
+fn poll_refuses_before_the_deadline() {
+    // A queued request is refused as soon as it can't meet its deadline, not only at the deadline.
+    let mut g = Gateway::new();
     g.fill();
-    let waiting = ticket(g.offer("c", 1_000));
+    let waiting = ticket(g.admit("c", 1_000));
     g.t += Duration::from_millis(800);
     assert_eq!(g.admission.poll(g.t, &g.table), []);
     g.t += Duration::from_millis(10);
-    let turns = g.admission.poll(g.t, &g.table);
+    let decisions = g.admission.poll(g.t, &g.table);
     assert!(
-        matches!(turns[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::TooLate)
+        matches!(decisions[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::TooLate)
     );
     assert_eq!(g.admission.waiting(), 0);
 }
 
 #[test]
 fn poll_starts_in_order() {
-    let mut g = Gate::new();
+    let mut g = Gateway::new();
     g.fill();
-    let first = ticket(g.offer("c", 60_000));
-    let second = ticket(g.offer("c", 60_000));
+    let first = ticket(g.admit("c", 60_000));
+    let second = ticket(g.admit("c", 60_000));
     assert_eq!(g.finish_one(), [(first, QueueDecision::Start(g.key))]);
     assert_eq!(g.finish_one(), [(second, QueueDecision::Start(g.key))]);
 }
 
 #[test]
 fn poll_by_priority() {
-    let mut g = Gate::new();
+    let mut g = Gateway::new();
     g.fill();
-    let low = ticket(g.offer_at("c", Priority::Low));
-    let normal = ticket(g.offer_at("c", Priority::Normal));
-    let high = ticket(g.offer_at("c", Priority::High));
+    let low = ticket(g.admit_with_priority("c", Priority::Low));
+    let normal = ticket(g.admit_with_priority("c", Priority::Normal));
+    let high = ticket(g.admit_with_priority("c", Priority::High));
     let order: Vec<Ticket> = (0..3)
         .flat_map(|_| g.finish_one())
         .map(|(t, _)| t)
@@ -172,10 +172,10 @@
 
 #[test]
 fn poll_fair_between_callers() {
-    let mut g = Gate::new();
+    let mut g = Gateway::new();
     g.fill();
-    let busy: Vec<Ticket> = (0..10).map(|_| ticket(g.offer("busy", 600_000))).collect();
-    let quiet = ticket(g.offer("quiet", 600_000));
+    let busy: Vec<Ticket> = (0..10).map(|_| ticket(g.admit("busy", 600_000))).collect();
+    let quiet = ticket(g.admit("quiet", 600_000));
     let order: Vec<Ticket> = (0..3)
         .flat_map(|_| g.finish_one())
         .map(|(t, _)| t)
@@ -184,16 +184,16 @@
 }
 
 #[test]
-fn offer_does_not_overtake() {
-    // A slot that becomes free goes to who waits, not to who comes.
-    let mut g = Gate::new();
+fn admit_does_not_overtake_queued_requests() {
+    // A free slot is given to the queued request, not to a new one.
+    let mut g = Gateway::new();
     g.fill();
-    let waiting = ticket(g.offer("c", 60_000));
-    let ending = AttemptOutcome::Completed {
+    let waiting = ticket(g.admit("c", 60_000));
+    let outcome = AttemptOutcome::Completed {
         first: Duration::from_millis(100),
     };
-    g.admission.finish(g.t, g.key, ending);
-    ticket(g.offer("late", 60_000));
+    g.admission.finish(g.t, g.key, outcome);
+    ticket(g.admit("late", 60_000));
     assert_eq!(
         g.admission.poll(g.t, &g.table),
         [(waiting, QueueDecision::Start(g.key))]
@@ -201,40 +201,40 @@
 }
 
 #[test]
-fn queue_bounded_and_sheds_least() {
-    let mut g = Gate::new();
+fn shed_for_removes_the_lowest_priority() {
+    let mut g = Gateway::new();
     g.fill();
     let lows: Vec<Ticket> = (0..MAX_QUEUE)
-        .map(|_| ticket(g.offer_at("c", Priority::Low)))
+        .map(|_| ticket(g.admit_with_priority("c", Priority::Low)))
         .collect();
     assert_eq!(
-        refusal(g.offer_at("c", Priority::Low)).reason,
+        refusal(g.admit_with_priority("c", Priority::Low)).reason,
         Reason::QueueFull
     );
     let m = Subject::Model("m".into());
     assert_eq!(
         g.admission.shed_for(&m, Priority::Low),
         None,
-        "nothing matters less"
+        "no request has a lower priority"
     );
     let (shed, r) = g
         .admission
         .shed_for(&m, Priority::High)
-        .expect("low ones wait");
+        .expect("low-priority requests are queued");
     assert_eq!(
         (shed, r.reason),
         (*lows.last().expect("many"), Reason::Shed)
     );
-    ticket(g.offer_at("c", Priority::High));
+    ticket(g.admit_with_priority("c", Priority::High));
     assert_eq!(g.admission.waiting(), MAX_QUEUE);
 }
 
 #[test]
-fn cancel_frees_the_place() {
-    let mut g = Gate::new();
+fn cancel_removes_from_the_queue() {
+    let mut g = Gateway::new();
     g.fill();
-    let gone = ticket(g.offer("c", 60_000));
-    let stays = ticket(g.offer("c", 60_000));
+    let gone = ticket(g.admit("c", 60_000));
+    let stays = ticket(g.admit("c", 60_000));
     g.admission.cancel(gone);
     assert_eq!(g.admission.waiting(), 1);
     assert_eq!(g.finish_one(), [(stays, QueueDecision::Start(g.key))]);
@@ -242,21 +242,22 @@
 
 #[test]
 fn poll_after_endpoint_left() {
-    // Who waits for a model that nothing serves any more is refused now.
-    let mut g = Gate::new();
+    // A request queued for a model that no endpoint serves any more is refused immediately.
+    let mut g = Gateway::new();
     g.fill();
-    let waiting = ticket(g.offer("c", 60_000));
+    let waiting = ticket(g.admit("c", 60_000));
     let (empty, _) = table(&[]);
-    let turns = g.admission.poll(g.t, &empty);
+    let decisions = g.admission.poll(g.t, &empty);
     assert!(
-        matches!(turns[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::NoTarget)
+        matches!(decisions[..], [(t, QueueDecision::Refuse(r))] if t == waiting && r.reason == Reason::NoTarget)
     );
 }
 
-/// Feeds an engine of eight slots with requests of one second at some share of its capacity for two
-/// minutes, and gives how many were answered within four seconds.
+/// Sends requests of one second to an engine of eight slots, at `share` of its capacity, for two minutes.
+///
+/// Returns the number of requests that completed within four seconds.
 fn goodput(share: f64) -> u32 {
-    let mut g = Gate::new();
+    let mut g = Gateway::new();
     let (start, service) = (g.t, Duration::from_secs(1));
     let m = Subject::Model("m".into());
     for _ in 0..50 {
@@ -285,12 +286,12 @@
         due += 8.0 * share * tick.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
-            let o = limehollow::admission::AdmissionRequest {
+            let request = limehollow::admission::AdmissionRequest {
                 tokens: 1,
-                ..offer(t, "c", 4_000)
+                ..admission_request(t, "c", 4_000)
             };
-            let deadline = o.deadline;
-            match g.admission.admit(t, &g.table, o) {
+            let deadline = request.deadline;
+            match g.admission.admit(t, &g.table, request) {
                 AdmissionDecision::Start(_) => finish.push((t + service, deadline)),
                 AdmissionDecision::Wait(ticket) => {
                     deadlines.insert(ticket, deadline);
@@ -298,9 +299,9 @@
                 AdmissionDecision::Refuse(_) => {}
             }
         }
-        for (ticket, turn) in g.admission.poll(t, &g.table) {
+        for (ticket, decision) in g.admission.poll(t, &g.table) {
             let deadline = deadlines.remove(&ticket).expect("it waited");
-            if matches!(turn, QueueDecision::Start(_)) {
+            if matches!(decision, QueueDecision::Start(_)) {
                 finish.push((t + service, deadline));
             }
         }
@@ -320,14 +321,14 @@
 
 #[test]
 fn finish_failed_frees_the_slot() {
-    let mut g = Gate::new();
+    let mut g = Gateway::new();
     g.fill();
-    let waiting = ticket(g.offer("c", 60_000));
+    let waiting = ticket(g.admit("c", 60_000));
     g.admission
         .finish(g.t, g.key, AttemptOutcome::Failed(Failure::Refused));
-    let turns = g.admission.poll(g.t, &g.table);
+    let decisions = g.admission.poll(g.t, &g.table);
     // A refusal lowers the limit below eight, so the slot isn't filled again at once.
-    assert_eq!(turns, []);
+    assert_eq!(decisions, []);
     g.admission.finish(g.t, g.key, AttemptOutcome::Cancelled);
     assert_eq!(
         g.admission.poll(g.t, &g.table),
--- a/crates/limehollow/tests/traffic/mod.rs
+++ b/crates/limehollow/tests/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! Routing tables that several test files start from.
+//! Builds routing tables and admission requests that several test files share.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Makes a fleet whose engines all hold model `m`; engines are given as (zone, name).
+/// Creates a fleet whose engines, given as (zone, name), all hold model `m`.
 pub fn fleet(engines: &[(&str, &str)]) -> Fleet {
     let mut f = Fleet::default();
     let mut offset = 0;
@@ -105,12 +105,12 @@
 }
 
 pub fn table(engines: &[(&str, &str)]) -> (Table, TableBuilder) {
-    let mut maker = TableBuilder::default();
-    let table = maker.build(&fleet(engines), &BTreeSet::new());
-    (table, maker)
+    let mut builder = TableBuilder::default();
+    let table = builder.build(&fleet(engines), &BTreeSet::new());
+    (table, builder)
 }
 
-pub fn offer(now: Instant, caller: &str, deadline_ms: u64) -> AdmissionRequest {
+pub fn admission_request(now: Instant, caller: &str, deadline_ms: u64) -> AdmissionRequest {
     AdmissionRequest {
         subject: Subject::Model("m".into()),
         caller: caller.into(),
