--- a/crates/limehollow/tests/routing.rs
+++ b/crates/limehollow/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where requests go: load, affinity, zones, ejection, leaving.
+//! Tests routing by load, affinity, zone, ejection and leaving endpoints.
 
 mod traffic;
 
@@ -58,7 +58,7 @@
         loads.start(k);
         *per_engine.entry(name(&table, k)).or_default() += 1;
     }
-    // Each has the concurrency that an unknown endpoint starts with, and then nothing more goes.
+    // Each engine gets the initial concurrency limit of an unknown endpoint, and no further request is routed.
     assert_eq!(
         per_engine.values().copied().collect::<Vec<_>>(),
         [8, 8, 8, 8]
@@ -67,7 +67,7 @@
 
 #[test]
 fn pick_affinity_with_bound() {
-    // One hot prefix goes to one engine, until that is busier than the mean by the bound.
+    // Requests with the same prefix go to one engine until its load exceeds the mean by the bound.
     let (t, (table, _)) = (Instant::now(), table(&ENGINES));
     let mut loads = Loads::default();
     let first = pick_for(t, &table, &loads, 42, &[]).expect("there is room");
@@ -78,7 +78,11 @@
         *counts.entry(k).or_default() += 1;
         loads.start(k);
     }
-    assert_eq!(counts.len(), 2, "both of the zone work on it: {counts:?}");
+    assert_eq!(
+        counts.len(),
+        2,
+        "both engines of the zone are used: {counts:?}"
+    );
     assert!(loads.outstanding(first) < 8);
 }
 
@@ -93,7 +97,7 @@
 }
 
 #[test]
-fn pick_passes_over_failed() {
+fn pick_skips_failed() {
     let (t, (table, _)) = (Instant::now(), table(&ENGINES));
     let loads = Loads::default();
     let failed = [key(&table, "a1"), key(&table, "a2")];
@@ -107,7 +111,7 @@
 }
 
 #[test]
-fn pick_ejected_and_back() {
+fn pick_after_ejection() {
     let (t, (table, _)) = (Instant::now(), table(&ENGINES[..2]));
     let mut loads = Loads::default();
     let bad = key(&table, "a1");
@@ -119,7 +123,7 @@
         .filter_map(|a| pick_for(t + ms(500), &table, &loads, a, &[]))
         .collect();
     assert!(!picked.contains(&bad));
-    // After its time it gets one request at a time; one success brings it back.
+    // After the ejection the engine gets one request at a time; one success ends the probation.
     let later = t + ms(1_001);
     assert!((0..50).any(|a| pick_for(later, &table, &loads, a, &[]) == Some(bad)));
     loads.start(bad);
@@ -129,7 +133,7 @@
     );
     loads.finish(later, bad, AttemptOutcome::Completed { first: ms(10) });
     assert!(loads.has_room(bad));
-    // A failure on probation ejects for longer, at once.
+    // A failure on probation ejects the engine at once, for a longer time.
     for _ in 0..3 {
         fail(&mut loads, later, bad, Failure::Connect);
     }
@@ -151,8 +155,8 @@
 }
 
 #[test]
-fn pick_ignores_callers_haste() {
-    // A deadline that passes is no evidence against the endpoint.
+fn pick_ignores_missed_deadlines() {
+    // A missed deadline doesn't count as a failure of the endpoint.
     let (t, (table, _)) = (Instant::now(), table(&ENGINES));
     let mut loads = Loads::default();
     let k = key(&table, "a1");
@@ -163,13 +167,13 @@
 }
 
 #[test]
-fn report_joined_with_own() {
+fn report_combined_with_own_requests() {
     let (t, (table, _)) = (Instant::now(), table(&ENGINES));
     let mut loads = Loads::default();
     let k = key(&table, "a1");
     loads.start(k);
     loads.start(k);
-    // The report counts our two and three of others.
+    // The report counts two requests of this gateway and three of others.
     loads.report(
         t,
         k,
@@ -180,12 +184,12 @@
         },
     );
     assert!((loads.estimate(t, k) - 5.0).abs() < 0.01);
-    // Ours are known at once; the others' fade as the report ages.
+    // This gateway's requests are known at once; the estimate for the others decays with the age of the report.
     loads.finish(t, k, AttemptOutcome::Completed { first: ms(10) });
     assert!((loads.estimate(t, k) - 4.0).abs() < 0.01);
     assert!((loads.estimate(t + ms(2_500), k) - 2.5).abs() < 0.01);
     assert!((loads.estimate(t + ms(6_000), k) - 1.0).abs() < 0.01);
-    // An older report that comes later says nothing.
+    // An older report that arrives later is ignored.
     loads.report(
         t - ms(1_000),
         k,
@@ -199,10 +203,10 @@
 }
 
 #[test]
-fn report_that_lies() {
+fn report_that_is_wrong() {
     let (t, (table, _)) = (Instant::now(), table(&ENGINES[..1]));
     let k = key(&table, "a1");
-    // It claims to be full: one request of ours goes all the same, so it can't be shut for good.
+    // An engine that reports being full still gets one request, so a wrong report can't exclude it permanently.
     let mut loads = Loads::default();
     loads.report(
         t,
@@ -214,7 +218,7 @@
         },
     );
     assert_eq!(pick_for(t, &table, &loads, 0, &[]), Some(k));
-    // It claims to be idle: our own outstanding requests still bound what it gets.
+    // For an engine that reports being idle, this gateway's outstanding requests still limit what is sent.
     let mut loads = Loads::default();
     loads.report(
         t,
@@ -253,7 +257,7 @@
     }
     let high = loads.slots(t, k);
     assert!(high > 9.0, "{high}");
-    // Slow ones lower it, but never below one.
+    // Slow answers lower the limit, but never below one.
     for i in 0..500 {
         loads.start(k);
         loads.finish(
@@ -267,10 +271,10 @@
 }
 
 #[test]
-fn table_leaving_gets_nothing() {
-    let mut maker = TableBuilder::default();
+fn table_without_leaving_endpoints() {
+    let mut builder = TableBuilder::default();
     let f = fleet(&ENGINES);
-    let table = maker.build(&f, &BTreeSet::from(["a1".into()]));
+    let table = builder.build(&f, &BTreeSet::from(["a1".into()]));
     let route = table.model("m").expect("it is in force");
     assert!(route.targets.iter().all(|t| t.name.as_str() != "a1"));
     assert_eq!(route.targets.len(), 3);
@@ -278,14 +282,14 @@
 
 #[test]
 fn table_keys_are_stable() {
-    // The load of an endpoint is kept over a change of the table, and dropped with its incarnation.
-    let mut maker = TableBuilder::default();
+    // The load of an endpoint is kept when the table changes, and dropped with its incarnation.
+    let mut builder = TableBuilder::default();
     let f = fleet(&ENGINES);
-    let first = maker.build(&f, &BTreeSet::new());
-    let second = maker.build(&f, &BTreeSet::new());
+    let first = builder.build(&f, &BTreeSet::new());
+    let second = builder.build(&f, &BTreeSet::new());
     assert_eq!(key(&first, "a1"), key(&second, "a1"));
-    let fewer = maker.build(&fleet(&ENGINES[1..]), &BTreeSet::new());
-    assert!(!maker.contains(key(&first, "a1")));
+    let fewer = builder.build(&fleet(&ENGINES[1..]), &BTreeSet::new());
+    assert!(!builder.contains(key(&first, "a1")));
     assert_eq!(key(&fewer, "a2"), key(&first, "a2"));
 }
 
@@ -294,7 +298,7 @@
     let (table, _) = table(&[]);
     assert!(
         table.model("m").is_some_and(|r| r.targets.is_empty()),
-        "known, but nothing serves it"
+        "known, but without endpoints"
     );
     assert!(table.model("other").is_none());
 }
