--- a/crates/limehollow/tests/demand.rs
+++ b/crates/limehollow/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Replicas that follow lasting demand, at the price of moves.
+//! Tests that replicas are added for lasting unmet demand if it is worth the moves.
 
 mod world;
 
@@ -28,20 +28,20 @@
     Duration::from_secs(s)
 }
 
-/// Hears the same unmet demand for some time and gives whether a replica is wanted then.
-fn wants(weights: Weights, per_second: f64, for_secs: u64) -> bool {
+/// Reports constant unmet demand for some time and returns whether another replica is requested at the end.
+fn needs_replica(weights: Weights, per_second: f64, for_secs: u64) -> bool {
     let (i, start) = (weighed(weights), Instant::now());
     let mut d = Demand::default();
-    let mut wanted = false;
+    let mut needed = false;
     for s in 0..=for_secs {
         d.report(start + secs(s), "vm".into(), "m".into(), per_second);
-        wanted = !d.models_to_scale_up(start + secs(s), &i).is_empty();
+        needed = !d.models_to_scale_up(start + secs(s), &i).is_empty();
     }
-    wanted
+    needed
 }
 
 #[test]
-fn wanting_by_weights() {
+fn models_to_scale_up_by_weights() {
     let cases = [
         (LANTERWIJK, 0.05, false),
         (LANTERWIJK, 0.1, true),
@@ -50,19 +50,19 @@
         (VREDNOST, 1.5, true),
         (LANTERWIJK, 0.0, false),
     ];
-    for (weights, per_second, wanted) in cases {
+    for (weights, per_second, needed) in cases {
         assert_eq!(
-            wants(weights, per_second, 20),
-            wanted,
-            "{weights:?} at {per_second} a second"
+            needs_replica(weights, per_second, 20),
+            needed,
+            "{weights:?} at {per_second} per second"
         );
     }
 }
 
 #[test]
-fn wanting_not_for_a_burst() {
-    assert!(!wants(LANTERWIJK, 50.0, 19));
-    // Two bursts with quiet between them are no lasting demand.
+fn models_to_scale_up_without_bursts() {
+    assert!(!needs_replica(LANTERWIJK, 50.0, 19));
+    // Two bursts with a pause between them aren't lasting demand.
     let (i, start) = (weighed(LANTERWIJK), Instant::now());
     let mut d = Demand::default();
     for s in (0..15).chain(30..45) {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn wanting_once_at_a_time() {
+fn models_to_scale_up_once_per_interval() {
     let (i, start) = (weighed(LANTERWIJK), Instant::now());
     let mut d = Demand::default();
     let mut added = 0;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn wanting_important_first() {
+fn models_to_scale_up_by_priority() {
     let mut i = weighed(LANTERWIJK);
     i.models[1].priority = Priority::High;
     let (start, mut d) = (Instant::now(), Demand::default());
@@ -108,7 +108,7 @@
     assert_eq!(order, ["n", "m"]);
 }
 
-fn up(weights: Weights) -> World {
+fn settled_world(weights: Weights) -> World {
     let mut w = World::new(&["a", "b"], 60);
     w.confirm(weighed(weights));
     let settled = w.run_until(secs(60), World::is_settled);
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn demand_adds_a_replica_where_it_is() {
-    let mut w = up(LANTERWIJK);
+fn demand_adds_a_replica_in_its_zone() {
+    let mut w = settled_world(LANTERWIJK);
     let before = w.fleet().moves_done();
     w.unmet = vec![("b".into(), "m".into(), 3.0)];
     w.run(secs(30));
@@ -131,7 +131,7 @@
     };
     assert!(in_b(&w) >= 1, "{:#?}", what_is_open(&w));
     assert_eq!(w.fleet().moves_done(), before + 1);
-    // Met now: nothing moves any more, not even back.
+    // Once the demand is met, nothing moves any more, not even back.
     w.unmet.clear();
     w.run(secs(600));
     assert_eq!(w.fleet().moves_done(), before + 1);
@@ -139,7 +139,7 @@
 
 #[test]
 fn demand_not_worth_a_move() {
-    let mut w = up(VREDNOST);
+    let mut w = settled_world(VREDNOST);
     let before = w.fleet().moves_done();
     w.unmet = vec![("b".into(), "m".into(), 0.5)];
     w.run(secs(300));
@@ -147,10 +147,10 @@
 }
 
 #[test]
-fn demand_takes_the_room_of_an_idle_extra() {
-    // First m grows until all is full, then n wants room: a replica of m beyond what was asked for
-    // goes, and both stay reachable at every tick.
-    let mut w = up(LANTERWIJK);
+fn demand_replaces_an_unused_replica() {
+    // First `m` is scaled up until all accelerators are full, then `n` needs memory: an additional replica of
+    // `m` is unloaded, and both models stay reachable at every tick.
+    let mut w = settled_world(LANTERWIJK);
     w.unmet = vec![("a".into(), "m".into(), 3.0), ("b".into(), "m".into(), 3.0)];
     w.run(secs(400));
     assert_eq!(
