--- a/crates/limehollow/tests/load_window.rs
+++ b/crates/limehollow/tests/load_window.rs
@@ -1,4 +1,4 @@
-//! Loads from the weight store never come closer together than it allows, whenever they were planned.
+//! Tests that loads from the weight store never exceed its rate limit, whenever they were planned.
 
 mod site;
 
@@ -7,13 +7,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
-/// Two loads a second over five seconds and three on top, less two for late orders.
+/// Two loads per second over five seconds plus three, less two for late orders.
 const ALLOWED: usize = 11;
 
 #[tokio::test(start_paused = true)]
-async fn try_begin_orders_that_wait_for_their_runs() {
-    // Plans choose as many as are allowed every five seconds; each order waits up to five seconds for what makes way. By
-    // the time of the plan alone two plans' orders fell into one window: 22.
+async fn try_begin_for_delayed_orders() {
+    // Each plan chooses the maximum number of loads every five seconds, and each order waits up to five seconds
+    // for an unload. When loads were counted only at planning time, the orders of two plans fell into one
+    // window: 22.
     let spec = engine(2);
     let mut w = LoadWindow::default();
     let mut waiting: Vec<Instant> = Vec::new();
@@ -29,19 +30,19 @@
             begun.extend(begins.then_some(now));
             !begins
         });
-        let lately = |t: &&Instant| now.duration_since(**t) <= CEILING.window;
-        assert!(begun.iter().filter(lately).count() <= ALLOWED);
+        let recent = |t: &&Instant| now.duration_since(**t) <= CEILING.window;
+        assert!(begun.iter().filter(recent).count() <= ALLOWED);
         advance(Duration::from_millis(100)).await;
     }
     assert!(
         begun.len() >= ALLOWED * 4,
-        "none waits for ever: {}",
+        "no load is delayed forever: {}",
         begun.len()
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn assume_full_after_another_holder() {
+async fn assume_full_after_a_change_of_the_lease_holder() {
     let spec = engine(2);
     let mut w = LoadWindow::default();
     let began = Instant::now();
