--- a/crates/limehollow/tests/order_book.rs
+++ b/crates/limehollow/tests/order_book.rs
@@ -1,4 +1,4 @@
-//! What comes next for a move of an adapter, from what is known of the endpoint.
+//! Tests the next step of an adapter's move for different states of the endpoint.
 
 mod site;
 
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn adapter_step_by_places() {
-    // Two places: a third adapter never goes in before one of the two has gone.
+fn adapter_step_by_slots() {
+    // With two slots, a third adapter is loaded only after one of the two was unloaded.
     assert_eq!(step(with(&["a1"]), &load("a2", None)), AdapterStep::Load);
     assert_eq!(
         step(with(&["a1", "a2"]), &load("a2", None)),
@@ -43,7 +43,7 @@
         step(with(&["a1", "a2"]), &load("a3", Some("a1"))),
         AdapterStep::Unload(first)
     );
-    // What was to make way is gone already, and its place is taken.
+    // The adapter to unload is already gone, and its slot is occupied.
     assert_eq!(
         step(with(&["a1", "a2"]), &load("a3", Some("a4"))),
         AdapterStep::Impossible
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn adapter_step_counts_what_is_coming() {
+fn adapter_step_counts_adapters_being_loaded() {
     let mut r = with(&["a1"]);
     r.coming = 1;
     assert_eq!(step(r, &load("a2", None)), AdapterStep::Impossible);
 }
 
 #[test]
-fn adapter_step_without_model_or_rest() {
+fn adapter_step_without_model_or_while_busy() {
     let mut busy = with(&[]);
     busy.busy = true;
     assert_eq!(step(busy, &load("a1", None)), AdapterStep::Impossible);
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn note_counts_as_the_endpoint_does() {
+fn record_counts_orders_like_the_endpoint() {
     let mut b = OrderBook::from(with(&["a1"]));
     b.withdraw(&adapter("big-0", "a1"));
-    assert_eq!(b.orders_taken, 5, "it is only about to go");
+    assert_eq!(b.orders_taken, 5, "the unload isn't executed yet");
     b.record_unload(&adapter("big-0", "a1"), true);
     b.record_load(&adapter("big-0", "a2"), true);
     b.record_load(&adapter("big-0", "a2"), false);
