--- a/crates/limehollow/tests/retry.rs
+++ b/crates/limehollow/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt.
+//! Tests the decision after a failed attempt.
 
 use limehollow::retry::{Attempts, MAX_ATTEMPTS, Repeat, RetryBudget, RetryDecision};
 use limehollow::verdict::{Failure, Verdict};
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn after_joins_verdicts() {
-    // A request that may have run stays one, whatever later attempts say.
+fn after_combines_verdicts() {
+    // A request that may have run keeps this verdict, whatever later attempts return.
     let mut a = attempts(Repeat::Allowed);
     let (mut b, now) = (RetryBudget::default(), Instant::now());
     b.after(now, &mut a, Failure::Broken, 0.5);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn after_never_repeated_stays_so() {
+fn after_of_a_request_that_must_not_be_repeated() {
     let mut a = attempts(Repeat::Never);
     let (mut b, now) = (RetryBudget::default(), Instant::now());
     assert!(is_retry(b.after(now, &mut a, Failure::Refused, 0.5)));
@@ -77,7 +77,7 @@
 
 #[test]
 fn budget_in_outage() {
-    // All fail: what reaches the endpoints is the traffic and a tenth of it, not four times it.
+    // If all attempts fail, the endpoints receive the traffic plus a tenth of it, not four times the traffic.
     let (mut b, now) = (RetryBudget::default(), Instant::now());
     let requests = 10_000;
     let mut sent = 0;
