--- a/crates/limehollow/tests/retry_window.rs
+++ b/crates/limehollow/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! The budget for repeats that all gateways share.
+//! Tests the budget for repeats that all gateways share.
 
 use limehollow::retry_window::{RepeatAllowance, RepeatWindow};
 use std::time::Duration;
@@ -10,47 +10,47 @@
     window: Duration::from_secs(10),
 };
 
-fn take_all(w: &mut RepeatWindow, gateways: usize) -> usize {
+fn acquire_all(w: &mut RepeatWindow, gateways: usize) -> usize {
     (0..1000)
         .take_while(|_| w.acquire(Instant::now(), RULES, gateways))
         .count()
 }
 
 #[test]
-fn take_gateways_share_the_slack() {
-    // All of them together stay below what the site allows, whatever each knows of the others.
+fn acquire_shares_the_slack_between_gateways() {
+    // The sum over all gateways stays below the site's allowance without coordination.
     let together: usize = (0..10)
-        .map(|_| take_all(&mut RepeatWindow::default(), 10))
+        .map(|_| acquire_all(&mut RepeatWindow::default(), 10))
         .sum();
     assert!(together > 0 && together <= 50, "{together}");
 }
 
 #[test]
-fn take_grows_with_requests() {
+fn acquire_grows_with_requests() {
     let mut w = RepeatWindow::default();
     for _ in 0..100 {
         w.request(Instant::now());
     }
-    let taken = take_all(&mut w, 10);
-    assert!((15..=25).contains(&taken), "{taken}");
+    let acquired = acquire_all(&mut w, 10);
+    assert!((15..=25).contains(&acquired), "{acquired}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn take_window_slides() {
+async fn acquire_within_a_sliding_window() {
     let mut w = RepeatWindow::default();
-    let first = take_all(&mut w, 1);
-    assert_eq!(take_all(&mut w, 1), 0);
+    let first = acquire_all(&mut w, 1);
+    assert_eq!(acquire_all(&mut w, 1), 0);
     advance(RULES.window / 2).await;
-    assert_eq!(take_all(&mut w, 1), 0);
+    assert_eq!(acquire_all(&mut w, 1), 0);
     advance(RULES.window).await;
-    assert_eq!(take_all(&mut w, 1), first);
+    assert_eq!(acquire_all(&mut w, 1), first);
 }
 
 #[test]
-fn has_takes_nothing() {
+fn has_budget_acquires_nothing() {
     let mut w = RepeatWindow::default();
     assert!(w.has_budget(Instant::now(), RULES, 1));
-    let taken = take_all(&mut w, 1);
+    let acquired = acquire_all(&mut w, 1);
     assert!(!w.has_budget(Instant::now(), RULES, 1));
-    assert_eq!(take_all(&mut RepeatWindow::default(), 1), taken);
+    assert_eq!(acquire_all(&mut RepeatWindow::default(), 1), acquired);
 }
