--- a/crates/limehollow/tests/balance.rs
+++ b/crates/limehollow/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Tests the choice of the endpoint for a request.
 
 mod site;
 
@@ -41,19 +41,19 @@
     (key, r.get(key).expect("it is listed"))
 }
 
-/// Ends a request as soon as it is sent.
-fn send(b: &mut Balance, r: &Roster, key: EndpointKey, ending: AttemptOutcome) {
+/// Sends a request and records its outcome at once.
+fn send(b: &mut Balance, r: &Roster, key: EndpointKey, outcome: AttemptOutcome) {
     let sent = b.start(
         Instant::now(),
         listed(r, key),
         &job(model("big-0"), 100, 0),
         30.0,
     );
-    b.finish(Instant::now(), sent, ending);
+    b.finish(Instant::now(), sent, outcome);
 }
 
 #[test]
-fn choose_by_what_is_held() {
+fn choose_by_holdings() {
     let (mut r, keys) = roster(&[&["big-0"], &["big-1"]]);
     let b = Balance::new("a".into());
     assert_eq!(to(choose(&b, &r, &job(model("big-1"), 100, 0))), keys[1]);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn choose_not_what_was_tried() {
+fn choose_skips_tried_endpoints() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn choose_own_zone_until_it_is_busier() {
+fn choose_own_zone_until_its_load_is_higher() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 2000, 0);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn choose_by_what_others_say() {
+fn choose_by_load_of_other_gateways() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let taken = Taken {
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn refresh_forgets_old_messages() {
+async fn refresh_drops_old_messages() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let taken = Taken {
@@ -127,8 +127,8 @@
 }
 
 #[test]
-fn expected_urgent_before_others() {
-    // What is less urgent stands behind; what is as urgent stands before.
+fn expected_by_rank() {
+    // Prompts of a less urgent rank are processed later, those of the same rank earlier.
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     let _sent = b.start(
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn expected_prompt_that_was_read_before() {
+fn expected_for_a_cached_prompt() {
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 5000, 0);
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn refused_counts_as_time_and_fades() {
+async fn refused_adds_time_that_decays() {
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     send(
@@ -173,14 +173,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn failures_eject_and_come_back() {
+async fn failures_eject_until_answers_succeed() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
     send(&mut b, &r, keys[0], AttemptOutcome::Failed(Failure::Broken));
     assert!(
         !b.is_ejected(Instant::now(), keys[0]),
-        "one failure is none"
+        "one failure is tolerated"
     );
     send(
         &mut b,
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn failures_of_all_eject_none() {
+fn failures_of_all_keep_endpoints_available() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     for k in &keys {
@@ -212,7 +212,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn slow_endpoints_lose_share() {
+async fn slow_endpoint_is_avoided() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     for _ in 0..10 {
@@ -224,13 +224,13 @@
         b.finish(Instant::now(), sent, AttemptOutcome::Completed { first });
     }
     assert_eq!(to(choose(&b, &r, &job(model("big-0"), 100, 0))), keys[1]);
-    // Nothing is sent there, so nothing would be learnt: the slowness is forgotten.
+    // The slowdown decays: nothing is sent to the endpoint, so no measurement would end it.
     advance(Duration::from_mins(1)).await;
     assert_eq!(to(choose(&b, &r, &job(model("big-0"), 100, 0))), keys[0]);
 }
 
 #[test]
-fn forget_endpoint_that_is_gone() {
+fn forget_before_the_request_ends() {
     let (mut r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     let sent = b.start(
@@ -242,14 +242,14 @@
     r.remove("i-0");
     b.forget(keys[0]);
     r.apply_entry(Instant::now(), site::endpoint(0, "a", holding(&["big-0"])));
-    // Its request ends after another endpoint has its place in the arena.
+    // The request ends after the key of its endpoint was reused.
     b.finish(Instant::now(), sent, AttemptOutcome::Cancelled);
     assert_eq!(b.own().count(), 0);
 }
 
 #[test]
-fn choose_crowded_by_prompts() {
-    // Prompts that are read hold up the streams of an endpoint: no more than so much at once.
+fn choose_overloaded_by_prompts() {
+    // Processing prompts delays the streams of an endpoint, so the amount per endpoint is limited.
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let narrow = Bounds {
@@ -258,7 +258,7 @@
     };
     let pick =
         |b: &Balance, n: u32| b.choose(Instant::now(), &r, narrow, &job(model("big-0"), n, 0), &[]);
-    // One prompt always may go, however long it is.
+    // A single prompt is always accepted, whatever its length.
     assert!(matches!(pick(&b, 9000), Choice::To(..)));
     let mut sent = b.start(
         Instant::now(),
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn choose_long_prompt_waits_for_no_idle_endpoint() {
+fn choose_long_prompt_without_idle_endpoint() {
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     let bounds = Bounds {
@@ -297,31 +297,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn demand_counts_the_place_that_a_stream_holds() {
+async fn demand_includes_slot_occupancy() {
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = Job::generation(site::llm(), model("big-0"), 0, (100, 100), &[]);
-    assert!(b.demand_ms(&j, 8) < 10.0, "its prompt alone");
+    assert!(b.demand_ms(&j, 8) < 10.0, "only the prompt counts");
     for _ in 0..5 {
         let sent = b.start(Instant::now(), listed(&r, keys[0]), &j, 30.0);
         advance(Duration::from_millis(1600)).await;
         let first = Duration::from_millis(30);
         b.finish(Instant::now(), sent, AttemptOutcome::Completed { first });
     }
-    // 1.6 s of one of eight places are 200 ms of the endpoint; half the output holds it half as long.
+    // 1.6 s of one of eight slots equal 200 ms of the endpoint; half the output occupies the slot half as long.
     assert!((b.demand_ms(&j, 8) - 200.0).abs() < 1.0);
     let short = Job::generation(site::llm(), model("big-0"), 0, (100, 50), &[]);
     assert!((b.demand_ms(&short, 8) - 100.0).abs() < 1.0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn demand_goes_towards_the_middle_sample_of_the_pace() {
+async fn demand_converges_to_the_median_sample() {
     let (r, keys) = roster(&[&["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = Job::generation(site::llm(), model("big-0"), 0, (1000, 0), &[]);
     for i in 0..60 {
         let mut sent = b.start(Instant::now(), listed(&r, keys[0]), &j, 30.0);
-        // 5 us a token; each fourth waits for something else.
+        // 5 us per token; every fourth request waits for another reason.
         let ms = if i % 4 == 3 { 900 } else { 25 };
         advance(Duration::from_millis(ms)).await;
         b.record_first_result(Instant::now(), &mut sent);
@@ -332,17 +332,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn zone_that_is_cut_is_left_at_once() {
+async fn zone_that_is_cut_is_avoided_at_once() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"], &["big-0"], &["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
     for k in [keys[0], keys[2]] {
         send(&mut b, &r, k, AttemptOutcome::Failed(Failure::Connect));
     }
-    // The third of the zone was never tried.
+    // The third endpoint of the zone was never tried.
     assert!(keys[1..].contains(&to(choose(&b, &r, &j))));
     assert_ne!(to(choose(&b, &r, &j)), keys[4]);
-    // An answer from the zone shows that two of it had crashed.
+    // An answer from the zone shows that the two endpoints had crashed and the zone isn't cut off.
     send(
         &mut b,
         &r,
@@ -358,7 +358,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn endpoint_that_comes_back_proves_itself_with_one_request() {
+async fn endpoint_after_ejection_gets_one_request_at_a_time() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     let j = job(model("big-0"), 100, 0);
@@ -370,7 +370,7 @@
     );
     advance(Duration::from_secs(6)).await;
     b.receive(Instant::now(), "vm-2".into(), busy(keys[1]));
-    assert_eq!(to(choose(&b, &r, &j)), keys[0], "old failures fade");
+    assert_eq!(to(choose(&b, &r, &j)), keys[0], "old failures decay");
     let mut probe = b.start(Instant::now(), listed(&r, keys[0]), &j, 30.0);
     assert_eq!(to(choose(&b, &r, &j)), keys[1], "one at a time");
     b.record_first_result(Instant::now(), &mut probe);
@@ -378,7 +378,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_between_some_tries_and_the_list() {
+async fn is_lost_until_the_list_is_newer() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let mut b = Balance::new("a".into());
     send(
@@ -387,12 +387,15 @@
         keys[0],
         AttemptOutcome::Failed(Failure::Connect),
     );
-    assert!(!b.is_lost(Instant::now(), keys[0]), "one try says little");
+    assert!(
+        !b.is_lost(Instant::now(), keys[0]),
+        "one attempt is too little evidence"
+    );
     advance(Duration::from_millis(700)).await;
     assert!(b.is_lost(Instant::now(), keys[0]));
     advance(Duration::from_secs(6)).await;
     assert!(!b.is_lost(Instant::now(), keys[0]), "it is still listed");
-    // What another VM of the zone can't reach is left as well, unless it has just answered here.
+    // An endpoint that another VM of the zone can't reach is ejected too, unless it has just answered this VM.
     b.report_unreachable(Instant::now(), keys[1]);
     assert!(b.is_ejected(Instant::now(), keys[1]));
     send(
@@ -407,7 +410,8 @@
     assert!(!b.is_ejected(Instant::now(), keys[0]));
 }
 
-/// What another gateway has at an endpoint: so much that nothing goes there unless it must.
+/// Returns a load of another gateway that is high enough for an endpoint to be chosen only if no other is
+/// available.
 fn busy(key: EndpointKey) -> Vec<(EndpointKey, Taken)> {
     let taken = Taken {
         requests: 2.0,
