--- a/crates/limehollow/tests/placement.rs
+++ b/crates/limehollow/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Plans: what goes where, in which order, and why there is none.
+//! Tests plans: placement, order of steps, and the errors when no plan exists.
 
 mod records;
 
@@ -14,7 +14,7 @@
 /// An engine: zone, name, memory of each accelerator, residents.
 type Row<'a> = (&'a str, &'a str, &'a [u64], &'a [(&'a str, &'a str, u64)]);
 
-/// A fleet of engines, given as (zone, name, memory of each accelerator, residents).
+/// Creates a fleet of engines, given as (zone, name, memory of each accelerator, residents).
 fn fleet(engines: &[Row<'_>], confirmed: Option<Intent>) -> Fleet {
     let mut s = Story::default();
     let mut epochs: BTreeMap<ZoneName, Offset> = BTreeMap::new();
@@ -75,7 +75,8 @@
     p.steps.iter().map(line).collect()
 }
 
-/// Carries the steps out one by one and checks the memory and the reach after each.
+/// Executes the steps one by one and checks after each that no accelerator is overcommitted and no model
+/// becomes unreachable.
 fn check_steps(f: &Fleet, i: &Intent, p: &Plan) {
     let mut held: BTreeMap<(String, u16), Vec<(String, u64)>> = BTreeMap::new();
     let mut capacity = BTreeMap::new();
@@ -90,14 +91,14 @@
             capacity.insert((name.to_string(), n), a.capacity);
         }
     }
-    let reach = |held: &BTreeMap<_, Vec<(String, u64)>>, m: &str| {
+    let is_reachable = |held: &BTreeMap<_, Vec<(String, u64)>>, m: &str| {
         held.values().flatten().any(|(name, _)| name == m)
     };
     let served: Vec<String> = i.models.iter().map(|m| m.name.to_string()).collect();
-    let mut reached: BTreeSet<&String> = served.iter().filter(|m| reach(&held, m)).collect();
+    let mut reached: BTreeSet<&String> = served.iter().filter(|m| is_reachable(&held, m)).collect();
     for s in &p.steps {
         let key = (s.place.endpoint.to_string(), s.place.accelerator);
-        let rows = held.get_mut(&key).expect("the place is known");
+        let rows = held.get_mut(&key).expect("the accelerator is known");
         let name = s.model.name.to_string();
         match s.action {
             Action::Load => rows.push((name, s.bytes)),
@@ -105,15 +106,15 @@
                 let at = rows
                     .iter()
                     .position(|(n, _)| *n == name)
-                    .expect("it is there");
+                    .expect("the model is loaded");
                 rows.remove(at);
             }
         }
         let used: u64 = rows.iter().map(|(_, b)| b).sum();
         assert!(used <= capacity[&key], "{s:?} overcommits: {used}");
-        reached.extend(served.iter().filter(|m| reach(&held, m)));
+        reached.extend(served.iter().filter(|m| is_reachable(&held, m)));
         for m in &reached {
-            assert!(reach(&held, m), "{s:?} cuts {m}");
+            assert!(is_reachable(&held, m), "{s:?} makes {m} unreachable");
         }
     }
 }
@@ -137,8 +138,8 @@
 }
 
 #[test]
-fn plan_keeps_what_is_there() {
-    // What stands already isn't moved: moves are what Vrednost weighs.
+fn plan_keeps_existing_replicas() {
+    // Existing replicas aren't moved: moves are what the site Vrednost weighs most.
     let f = fleet(
         &[
             ("a", "e1", &[100], &[("m", "1", 60)]),
@@ -199,7 +200,7 @@
 
 #[test]
 fn plan_priority_first() {
-    // There is room for one of two: the refusal names the less important one.
+    // Only one of two models fits: the error names the less important one.
     let f = fleet(&[("a", "e1", &[100], &[])], None);
     let mut i = intent(vec![model("low", "1", 60), model("high", "1", 60)]);
     i.models[0].priority = Priority::Low;
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn plan_new_version_before_old_goes() {
+fn plan_loads_new_version_before_unloading_old() {
     let old = intent(vec![model("m", "1", 40)]);
     let f = fleet(&[("a", "e1", &[100], &[("m", "1", 40)])], Some(old));
     let i = intent(vec![model("m", "2", 40)]);
@@ -223,8 +224,8 @@
 
 #[test]
 fn plan_new_base_version_keeps_adapters() {
-    // The new version goes where the old one is, though the other engine has more room: the adapters
-    // there needn't move.
+    // The new version is loaded where the old one is, although the other engine has more free memory, so that
+    // the adapters there needn't move.
     let old = intent(vec![
         model("m", "1", 30),
         adapter("x", "m", 5),
@@ -252,8 +253,8 @@
 }
 
 #[test]
-fn plan_swap_through_the_other_replica() {
-    // Two full accelerators: each swap uses that the other replica is still there.
+fn plan_replaces_one_replica_after_the_other() {
+    // Two full accelerators: each replacement relies on the replica on the other one.
     let old = two_replicas(intent(vec![model("m", "1", 90)]));
     let f = fleet(
         &[
@@ -270,13 +271,13 @@
 
 #[test]
 fn plan_no_order_of_steps() {
-    // One full accelerator: the new version has no room before the old one goes, and the old one is
-    // the last.
+    // One full accelerator: the new version doesn't fit until the old one is unloaded, and the old one is the
+    // last replica.
     let old = intent(vec![model("m", "1", 90)]);
     let f = fleet(&[("a", "e1", &[100], &[("m", "1", 90)])], Some(old));
     let i = intent(vec![model("m", "2", 90)]);
     let why = plan(&f, Offset(9), &i)
-        .expect_err("it would cut m")
+        .expect_err("it would make m unreachable")
         .to_string();
     assert_eq!(
         why,
@@ -306,8 +307,8 @@
 }
 
 #[test]
-fn plan_any_change_is_in_order() {
-    // Seeded changes between random intents: every plan that is made fits at every step.
+fn plan_fits_for_random_changes() {
+    // Seeded changes between random intents: every plan fits in memory at every step.
     use rand::rngs::StdRng;
     use rand::{RngExt, SeedableRng};
     let mut made = 0;
