--- a/crates/limehollow/tests/placing.rs
+++ b/crates/limehollow/tests/placing.rs
@@ -1,8 +1,9 @@
-//! Plays demand that shifts on the decisions of placement alone, and checks what callers get.
+//! Simulates shifting demand with the rebalancer alone, and checks which part of it is served.
 //!
-//! Endpoints hold two models each; a move takes a second and a half from a copy at hand, eight seconds from the weight
-//! store. A few models carry most of the demand, others follow them every twenty seconds, the rest is asked for now and
-//! then. What a model's replicas can't bear is refused, and so is what is nowhere.
+//! Endpoints hold two models each; a move takes a second and a half from a local copy and eight seconds from
+//! the weight store. A few models have most of the demand, other models replace them every twenty seconds, and
+//! the remaining models are requested rarely. Work above the capacity of a model's replicas is refused, and so
+//! are requests for a model without a replica.
 
 mod site;
 
@@ -20,17 +21,17 @@
 const ENDPOINTS: usize = 20;
 const STEP: Duration = Duration::from_millis(200);
 const LENGTH: Duration = Duration::from_secs(100);
-/// How often other models become the busy ones, and how many are.
+/// The interval at which other models become the busy ones, and the number of busy models.
 const SHIFT_EVERY: Duration = Duration::from_secs(20);
 const BUSY: usize = 3;
-/// What the busy models are asked for in all, in ms of work a second, and what an endpoint bears.
+/// The total demand for the busy models, in ms of work per second, and the capacity of an endpoint.
 const BUSY_WORK: f64 = 7000.0;
-const BEARS: f64 = 1000.0;
-/// Requests a second for the other models, over all of them, and the work of one request in ms.
+const CAPACITY: f64 = 1000.0;
+/// Requests per second for the other models in total, and the work of one request in ms.
 const RARE_PER_S: f64 = 4.0;
 const REQUEST_MS: f64 = 60.0;
-/// The time constant of the rates that gateways tell, in s.
-const TOLD_S: f64 = 1.5;
+/// The time constant of the rates that gateways report, in seconds.
+const RATE_TIME_CONSTANT_S: f64 = 1.5;
 
 const CEILING: LoadCeiling = LoadCeiling {
     window: Duration::from_secs(5),
@@ -38,23 +39,24 @@
     slack: 3.0,
 };
 
-struct Play {
+struct Simulation {
     rng: StdRng,
     models: Vec<SmolStr>,
     endpoints: Vec<Endpoint>,
     moves: Vec<(Instant, EndpointKey, ModelMove)>,
     roster: Roster,
     rebalancer: Rebalancer,
-    told: BTreeMap<SmolStr, f64>,
+    rates: BTreeMap<SmolStr, f64>,
     began: Instant,
-    asked: f64,
+    requested: f64,
     served: f64,
-    rare_asked: u32,
+    rare_requested: u32,
     rare_served: u32,
 }
 
-impl Play {
-    /// Starts with the busy models on many endpoints and each other one on a single endpoint while there is room.
+impl Simulation {
+    /// Creates a site with the busy models on many endpoints and each other model on one endpoint, as far as
+    /// they fit.
     fn new(seed: u64, models: usize) -> Self {
         let models: Vec<SmolStr> = (0..models).map(|i| format_smolstr!("big-{i}")).collect();
         let mut rest = models.iter().skip(BUSY).rev();
@@ -65,22 +67,22 @@
             e.copies = e.holdings.keys().cloned().collect();
             e
         });
-        let mut play = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             endpoints: endpoints.collect(),
             models,
             moves: Vec::new(),
             roster: Roster::default(),
             rebalancer: Rebalancer::default(),
-            told: BTreeMap::new(),
+            rates: BTreeMap::new(),
             began: Instant::now(),
-            asked: 0.0,
+            requested: 0.0,
             served: 0.0,
-            rare_asked: 0,
+            rare_requested: 0,
             rare_served: 0,
         };
-        play.list();
-        play
+        simulation.list();
+        simulation
     }
 
     fn list(&mut self) {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Gives the models that are busy now; each shift brings others, in no listed order.
+    /// Returns the models that are busy now; each shift selects others, in an irregular order.
     fn busy(&self) -> Vec<usize> {
         let shift = (self.began.elapsed().as_millis() / SHIFT_EVERY.as_millis()) as usize;
         let n = self.models.len();
@@ -98,13 +100,13 @@
             .collect()
     }
 
-    /// Ends the moves that are due.
+    /// Completes the moves that are due.
     fn end_moves(&mut self) {
         let now = Instant::now();
-        let (due, under_way): (Vec<_>, Vec<_>) = std::mem::take(&mut self.moves)
+        let (due, in_progress): (Vec<_>, Vec<_>) = std::mem::take(&mut self.moves)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.moves = under_way;
+        self.moves = in_progress;
         for (_, key, m) in due {
             let i = self.index(key);
             self.endpoints[i].holdings.append(&mut holding(&[&m.load]));
@@ -122,7 +124,7 @@
     fn begin_moves(&mut self) {
         let now = Instant::now();
         let demand: BTreeMap<ModelRef, f64> =
-            self.told.iter().map(|(m, d)| (model(m), *d)).collect();
+            self.rates.iter().map(|(m, d)| (model(m), *d)).collect();
         self.rebalancer.observe(now, &demand);
         let spec = engine(self.models.len());
         let begun = self
@@ -142,17 +144,17 @@
         }
     }
 
-    /// Asks for a step's work, and serves what the replicas bear.
-    fn ask(&mut self) {
+    /// Generates the requests of one step, and serves what the replicas have capacity for.
+    fn serve_step(&mut self) {
         let step = STEP.as_secs_f64();
         let busy = self.busy();
         let mut work: BTreeMap<SmolStr, f64> = BTreeMap::new();
         for (i, share) in busy.iter().zip([0.6, 0.25, 0.15]) {
             work.insert(self.models[*i].clone(), BUSY_WORK * share * step);
         }
-        let mut left: Vec<f64> = vec![BEARS * step; self.endpoints.len()];
+        let mut left: Vec<f64> = vec![CAPACITY * step; self.endpoints.len()];
         for (m, w) in &work {
-            self.asked += w;
+            self.requested += w;
             let mut holders: Vec<usize> = self.holders(m);
             holders.sort_by(|a, b| left[*b].total_cmp(&left[*a]));
             let n = holders.len();
@@ -169,30 +171,31 @@
             let i = self.rng.random_range(0..self.models.len());
             if !busy.contains(&i) {
                 let m = self.models[i].clone();
-                self.rare_asked += 1;
+                self.rare_requested += 1;
                 self.rare_served += u32::from(!self.holders(&m).is_empty());
                 work.insert(m, REQUEST_MS);
             }
         }
-        let keep = (-step / TOLD_S).exp();
-        for d in self.told.values_mut() {
+        let keep = (-step / RATE_TIME_CONSTANT_S).exp();
+        for d in self.rates.values_mut() {
             *d *= keep;
         }
         for (m, w) in work {
-            *self.told.entry(m).or_default() += w / TOLD_S;
+            *self.rates.entry(m).or_default() += w / RATE_TIME_CONSTANT_S;
         }
-        self.told.retain(|_, d| *d > 0.01);
+        self.rates.retain(|_, d| *d > 0.01);
     }
 
     fn holders(&self, m: &SmolStr) -> Vec<usize> {
-        let here = self.endpoints.iter().enumerate();
-        here.filter(|(_, e)| e.holdings.contains_key(m))
+        let endpoints = self.endpoints.iter().enumerate();
+        endpoints
+            .filter(|(_, e)| e.holdings.contains_key(m))
             .map(|(i, _)| i)
             .collect()
     }
 
     async fn run(mut self) -> Attained {
-        // The holder of the lease is there some seconds before the first request.
+        // The lease holder starts some seconds before the first request.
         for _ in 0..40 {
             self.end_moves();
             self.list();
@@ -203,19 +206,19 @@
         while self.began.elapsed() < LENGTH {
             self.end_moves();
             self.list();
-            self.ask();
+            self.serve_step();
             self.begin_moves();
-            self.check_room();
+            self.check_capacity();
             advance(STEP).await;
         }
         Attained {
-            busy: self.served / self.asked,
-            rare: f64::from(self.rare_served) / f64::from(self.rare_asked),
+            busy: self.served / self.requested,
+            rare: f64::from(self.rare_served) / f64::from(self.rare_requested),
         }
     }
 
-    /// No endpoint ever holds more than it has room for, with what is on its way.
-    fn check_room(&self) {
+    /// Checks that no endpoint holds more models than fit, including those being loaded.
+    fn check_capacity(&self) {
         for (i, e) in self.endpoints.iter().enumerate() {
             let coming = self
                 .moves
@@ -229,7 +232,7 @@
     }
 }
 
-/// The parts of what was asked for that were served: work of busy models, and requests for the others.
+/// The served fractions: of the work for busy models, and of the requests for the others.
 #[derive(Clone, Copy, Debug)]
 struct Attained {
     busy: f64,
@@ -239,7 +242,7 @@
 async fn attained(models: usize) -> Attained {
     let (mut busy, mut rare) = (0.0, 0.0);
     for seed in 1..=4 {
-        let a = Play::new(seed, models).run().await;
+        let a = Simulation::new(seed, models).run().await;
         busy += a.busy / 4.0;
         rare += a.rare / 4.0;
     }
@@ -253,19 +256,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_twice_as_many_models_as_places() {
-    // 0.17 and 0.52 while last replicas never made way, 0.70 and 0.32 since.
+async fn plan_twice_as_many_models_as_slots() {
+    // 0.17 and 0.52 when last replicas were never unloaded, 0.70 and 0.32 since they can be.
     attained(80).await.assert_at_least(0.66, 0.28);
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_a_few_more_models_than_places() {
-    // 0.34 and 0.86 while last replicas never made way, 0.77 and 0.58 since.
+async fn plan_a_few_more_models_than_slots() {
+    // 0.34 and 0.86 when last replicas were never unloaded, 0.77 and 0.58 since they can be.
     attained(46).await.assert_at_least(0.73, 0.54);
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_half_as_many_models_as_places() {
-    // 0.85 and 0.99 before and since: nothing has to make way.
+async fn plan_half_as_many_models_as_slots() {
+    // 0.85 and 0.99 before and after that change, since no model has to be unloaded.
     attained(20).await.assert_at_least(0.82, 0.97);
 }
