--- a/crates/limehollow/tests/rare_adapters.rs
+++ b/crates/limehollow/tests/rare_adapters.rs
@@ -1,7 +1,8 @@
-//! Plays requests for many adapters on few places, on the decisions of placement alone, and checks what callers get.
+//! Simulates requests for many adapters on few slots with the rebalancer alone, and checks how many callers are
+//! served.
 //!
-//! Each endpoint holds the base model and has places for a part of its adapters. A request waits for an adapter that is
-//! nowhere for a fifth of its objective; its caller comes back once, and finds the adapter or leaves.
+//! Each endpoint holds the base model and has slots for some of its adapters. A request waits for a missing
+//! adapter for a fifth of its objective; then its caller retries once, and finds the adapter or gives up.
 
 mod site;
 
@@ -18,24 +19,25 @@
 use tokio::time::{Instant, advance};
 
 const BASE: &str = "big-0";
-const PLACES: usize = 8;
+const SLOTS: usize = 8;
 const STEP: Duration = Duration::from_millis(10);
 const LENGTH: Duration = Duration::from_secs(40);
-/// How long a request waits for an adapter, and after how long its caller comes back.
-const WAITS: Duration = Duration::from_millis(160);
-const COMES_BACK: Duration = Duration::from_millis(500);
-/// What an adapter takes to load, from the plan to the word that it is there.
-const LOADS_IN: Duration = Duration::from_millis(60);
-/// Endpoints load models by turns, and take no adapters meanwhile: how often.
+/// How long a request waits for an adapter, and the delay after which its caller retries.
+const WAIT_LIMIT: Duration = Duration::from_millis(160);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// The time from the plan until an adapter is reported as loaded.
+const LOAD_TIME: Duration = Duration::from_millis(60);
+/// The interval at which each endpoint loads models; endpoints do so in turn, and accept no adapters meanwhile.
 const MODEL_LOAD_EVERY: Duration = Duration::from_secs(8);
-/// The work of one request in ms, and the time constant of the rates that gateways tell, in s.
+/// The work of one request in ms, and the time constant of the rates that gateways report, in seconds.
 const REQUEST_MS: f64 = 60.0;
-const TOLD_S: f64 = 1.5;
-/// What a request that waits counts as until its rate is told, in ms of work a second.
+const RATE_TIME_CONSTANT_S: f64 = 1.5;
+/// The rate that a waiting request counts as until its rate is reported, in ms of work per second.
 const WAITING: f64 = 5.0;
-/// An adapter counts as asked for all along from so many callers on, over so long.
-const ASKED_OFTEN: usize = 4;
-const ASKED_OVER: Duration = Duration::from_secs(8);
+/// The number of callers, and the time they are spread over, from which an adapter counts as requested
+/// continuously.
+const MIN_CALLERS: usize = 4;
+const MIN_CALLER_SPAN: Duration = Duration::from_secs(8);
 
 /// One caller's request.
 struct Request {
@@ -44,7 +46,7 @@
     is_second: bool,
 }
 
-/// What became of the requests for one adapter.
+/// The requests for one adapter and their results.
 #[derive(Default)]
 struct Tally {
     callers: usize,
@@ -54,53 +56,54 @@
 }
 
 impl Tally {
-    fn is_asked_often(&self) -> bool {
+    fn is_requested_continuously(&self) -> bool {
         let over = self.first.zip(self.last);
-        self.callers >= ASKED_OFTEN && over.is_some_and(|(a, b)| b - a >= ASKED_OVER)
+        self.callers >= MIN_CALLERS && over.is_some_and(|(a, b)| b - a >= MIN_CALLER_SPAN)
     }
 }
 
-/// What a site has to bear.
+/// The load on a site.
 #[derive(Clone, Copy)]
 struct Load {
-    /// Requests a second, over all adapters.
+    /// Requests per second, over all adapters.
     per_s: f64,
     /// How long an endpoint loads models each time.
     loading: Duration,
-    /// How long a request runs: an adapter that is told to go while it is in use goes after that, and its endpoint takes no other order until then.
+    /// How long a request runs. An adapter in use that is ordered to unload is unloaded after that, and its
+    /// endpoint accepts no other order until then.
     runs: Duration,
 }
 
-struct Play {
+struct Simulation {
     rng: StdRng,
     spec: EngineSpec,
     load: Load,
     endpoints: Vec<Endpoint>,
     roster: Roster,
     rebalancer: Rebalancer,
-    /// What callers waited for, and when last.
+    /// The adapters for which callers waited, and when last.
     waited_for: BTreeMap<ModelRef, Instant>,
     began: Instant,
-    told: BTreeMap<ModelRef, f64>,
+    rates: BTreeMap<ModelRef, f64>,
     waiting: Vec<Request>,
-    away: Vec<(Instant, Request)>,
+    retrying: Vec<(Instant, Request)>,
     moves: Vec<(Instant, EndpointKey, AdapterMove)>,
-    /// Until when each adapter is in use.
+    /// The time until which each adapter is in use.
     in_use: BTreeMap<SmolStr, Instant>,
     loads: usize,
     tallies: BTreeMap<SmolStr, Tally>,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, endpoints: usize, adapters: usize, load: Load) -> Self {
         let mut spec = engine(1);
-        spec.adapter_places = PLACES;
+        spec.adapter_places = SLOTS;
         let names = (1..=adapters).map(|n| format_smolstr!("a{n}"));
         let base = spec.models.get_mut(BASE).expect("it is there");
         base.adapters = names.collect();
         let zones = ["a", "b"];
         let endpoints = (0..endpoints).map(|i| endpoint(i, zones[i % 2], holding(&[BASE])));
-        let mut play = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             spec,
             load,
@@ -109,16 +112,16 @@
             rebalancer: Rebalancer::default(),
             waited_for: BTreeMap::new(),
             began: Instant::now(),
-            told: BTreeMap::new(),
+            rates: BTreeMap::new(),
             waiting: Vec::new(),
-            away: Vec::new(),
+            retrying: Vec::new(),
             moves: Vec::new(),
             in_use: BTreeMap::new(),
             loads: 0,
             tallies: BTreeMap::new(),
         };
-        play.list();
-        play
+        simulation.list();
+        simulation
     }
 
     fn list(&mut self) {
@@ -138,12 +141,12 @@
         &mut held.expect("it holds the base").adapters
     }
 
-    fn is_there(&self, name: &SmolStr) -> bool {
+    fn is_loaded(&self, name: &SmolStr) -> bool {
         let m = adapter(BASE, name);
         self.endpoints.iter().any(|e| holds(&e.holdings, &m))
     }
 
-    /// Draws the callers of a step: few ask for most of the adapters now and then, many for some of them.
+    /// Draws the callers of a step: most adapters are requested rarely, a few of them often.
     fn arrive(&mut self) {
         if !self.rng.random_bool(self.load.per_s * STEP.as_secs_f64()) {
             return;
@@ -163,12 +166,12 @@
         tally.callers += 1;
         tally.first.get_or_insert(now);
         tally.last = Some(now);
-        self.ask(name, false);
+        self.request(name, false);
     }
 
-    fn ask(&mut self, name: SmolStr, is_second: bool) {
-        let told = self.told.entry(adapter(BASE, &name)).or_default();
-        *told += REQUEST_MS / TOLD_S;
+    fn request(&mut self, name: SmolStr, is_second: bool) {
+        let rate = self.rates.entry(adapter(BASE, &name)).or_default();
+        *rate += REQUEST_MS / RATE_TIME_CONSTANT_S;
         self.waiting.push(Request {
             adapter: name,
             arrived: Instant::now(),
@@ -176,29 +179,29 @@
         });
     }
 
-    fn come_back(&mut self) {
+    fn retry(&mut self) {
         let now = Instant::now();
-        let (due, away) = std::mem::take(&mut self.away)
+        let (due, retrying) = std::mem::take(&mut self.retrying)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.away = away;
+        self.retrying = retrying;
         for (_, r) in due {
-            self.ask(r.adapter, true);
+            self.request(r.adapter, true);
         }
     }
 
-    /// Serves the requests whose adapter is there, and refuses those that have waited.
+    /// Serves the requests whose adapter is loaded, and refuses those that have waited too long.
     fn answer(&mut self) {
         let now = Instant::now();
         for r in std::mem::take(&mut self.waiting) {
-            if self.is_there(&r.adapter) {
+            if self.is_loaded(&r.adapter) {
                 self.in_use.insert(r.adapter.clone(), now + self.load.runs);
                 let tally = self.tallies.entry(r.adapter).or_default();
                 tally.served += 1;
-            } else if now < r.arrived + WAITS {
+            } else if now < r.arrived + WAIT_LIMIT {
                 self.waiting.push(r);
             } else if !r.is_second {
-                self.away.push((now + COMES_BACK, r));
+                self.retrying.push((now + RETRY_DELAY, r));
             }
         }
     }
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Tells whether an endpoint takes no adapters now, since it loads a model.
+    /// Returns `true` if an endpoint accepts no adapters now because it loads a model.
     fn loads_model(&self, i: usize) -> bool {
         let turn = MODEL_LOAD_EVERY / u32::try_from(self.endpoints.len()).expect("few");
         let since = self.began.elapsed() + turn * u32::try_from(i).expect("few");
@@ -225,7 +228,7 @@
 
     fn plan(&mut self) {
         let now = Instant::now();
-        let mut demand = self.told.clone();
+        let mut demand = self.rates.clone();
         for r in &self.waiting {
             demand.entry(adapter(BASE, &r.adapter)).or_insert(WAITING);
         }
@@ -251,17 +254,17 @@
                 begins = self.in_use.get(&name).map_or(now, |until| now.max(*until));
             }
             self.loads += 1;
-            self.moves.push((begins + LOADS_IN, key, m));
+            self.moves.push((begins + LOAD_TIME, key, m));
         }
     }
 
     async fn run(mut self) -> Self {
-        // The holder of the lease fills the places before the first request.
+        // The lease holder fills the slots before the first request.
         let start = Instant::now() + millis(5000);
         let end = start + LENGTH;
         while Instant::now() < end {
             self.end_moves();
-            self.come_back();
+            self.retry();
             if Instant::now() >= start {
                 self.arrive();
             }
@@ -269,17 +272,17 @@
             self.answer();
             self.plan();
             self.list();
-            let keep = (-STEP.as_secs_f64() / TOLD_S).exp();
-            for d in self.told.values_mut() {
+            let keep = (-STEP.as_secs_f64() / RATE_TIME_CONSTANT_S).exp();
+            for d in self.rates.values_mut() {
                 *d *= keep;
             }
-            self.told.retain(|_, d| *d > 0.01);
+            self.rates.retain(|_, d| *d > 0.01);
             advance(STEP).await;
         }
         self
     }
 
-    /// Gives the part of the callers that were served.
+    /// Returns the fraction of callers that were served.
     #[expect(clippy::cast_precision_loss, reason = "there are some hundred")]
     fn served(&self) -> f64 {
         let callers: usize = self.tallies.values().map(|t| t.callers).sum();
@@ -288,7 +291,10 @@
     }
 
     fn never_served(&self) -> Vec<&SmolStr> {
-        let often = self.tallies.iter().filter(|(_, t)| t.is_asked_often());
+        let often = self
+            .tallies
+            .iter()
+            .filter(|(_, t)| t.is_requested_continuously());
         often
             .filter(|(_, t)| t.served == 0)
             .map(|(n, _)| n)
@@ -296,12 +302,13 @@
     }
 }
 
-/// Plays some seeds, and gives the part of callers served in each and the adapters never served in any.
-async fn play(endpoints: usize, adapters: usize, load: Load) -> (Vec<f64>, usize) {
+/// Simulates five seeds. Returns the fraction of callers served for each, and the number of continuously
+/// requested adapters that were never served, over all seeds.
+async fn simulate(endpoints: usize, adapters: usize, load: Load) -> (Vec<f64>, usize) {
     let mut served = Vec::new();
     let mut never = 0;
     for seed in 0..5 {
-        let p = Play::new(seed, endpoints, adapters, load).run().await;
+        let p = Simulation::new(seed, endpoints, adapters, load).run().await;
         eprintln!(
             "seed {seed}: {:.3} served, {} loads, never served: {:?}",
             p.served(),
@@ -315,28 +322,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_adapters_not_loaded_after_their_callers_left() {
+async fn plan_adapters_loads_before_callers_give_up() {
     let load = Load {
         per_s: 20.0,
         loading: Duration::from_secs(6),
         runs: Duration::ZERO,
     };
-    let (served, never) = play(4, 63, load).await;
-    assert_eq!(never, 0, "adapters that are asked for all along are served");
+    let (served, never) = simulate(4, 63, load).await;
+    assert_eq!(never, 0, "continuously requested adapters are served");
     assert!(served.iter().all(|s| *s >= 0.85), "{served:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_adapters_in_use_are_not_told_to_go_while_others_are_idle() {
+async fn plan_adapters_unloads_idle_adapters_first() {
     let load = Load {
         per_s: 20.0,
         loading: Duration::from_secs(4),
         runs: Duration::from_secs(3),
     };
-    let (served, never) = play(4, 63, load).await;
+    let (served, never) = simulate(4, 63, load).await;
     assert!(
         never <= 4,
-        "{never} that are asked for all along, in five seeds"
+        "{never} continuously requested adapters, in five seeds"
     );
     assert!(served.iter().all(|s| *s >= 0.67), "{served:?}");
 }
