--- a/crates/limehollow/tests/rebalance.rs
+++ b/crates/limehollow/tests/rebalance.rs
@@ -1,4 +1,4 @@
-//! Which model and which adapter is loaded where next.
+//! Tests which model or adapter is loaded where next.
 
 mod site;
 
@@ -16,10 +16,15 @@
 }
 
 fn adapters(r: &mut Rebalancer, roster: &Roster) -> Vec<(EndpointKey, AdapterMove)> {
-    let nobody = BTreeMap::new();
-    r.plan_adapters(Instant::now(), roster, &llm(), &engine(2), &nobody, |_| {
-        true
-    })
+    let no_callers = BTreeMap::new();
+    r.plan_adapters(
+        Instant::now(),
+        roster,
+        &llm(),
+        &engine(2),
+        &no_callers,
+        |_| true,
+    )
 }
 
 fn loads(moves: &[(EndpointKey, ModelMove)]) -> Vec<&str> {
@@ -27,7 +32,7 @@
 }
 
 #[test]
-fn plan_nothing_asked() {
+fn plan_without_demand() {
     let (roster, _) = roster(&[&["big-0", "big-1"], &["big-0", "big-1"]]);
     let mut r = Rebalancer::default();
     r.observe(Instant::now(), &BTreeMap::new());
@@ -35,18 +40,21 @@
 }
 
 #[test]
-fn plan_model_that_is_nowhere() {
+fn plan_missing_model() {
     let (roster, _) = roster(&[&["big-0", "big-1"], &["big-0", "big-1"]]);
     let mut r = Rebalancer::default();
     r.observe(Instant::now(), &demand(&[("big-2", 10.0)]));
     let moves = plan(&mut r, &roster, 3);
     assert_eq!(loads(&moves), ["big-2"]);
-    assert!(plan(&mut r, &roster, 3).is_empty(), "it is on its way");
+    assert!(
+        plan(&mut r, &roster, 3).is_empty(),
+        "the load is in progress"
+    );
 }
 
 #[test]
-fn plan_hot_model_gets_idle_endpoints() {
-    // A sixth replica of six leaves its endpoint with five sixths of the load: still worth it.
+fn plan_busy_model_gets_idle_endpoints() {
+    // With a sixth replica, each endpoint has five sixths of the load, which is still worth the move.
     let hot: &[&str] = &["big-0"];
     let cold: &[&str] = &["big-1", "big-2"];
     let (roster, keys) = roster(&[hot, hot, hot, hot, hot, cold, cold, cold]);
@@ -59,7 +67,7 @@
 }
 
 #[test]
-fn plan_last_replica_never_makes_way() {
+fn plan_keeps_last_replicas() {
     let (roster, _) = roster(&[&["big-0"], &["big-1", "big-2"], &["big-3", "big-4"]]);
     let mut r = Rebalancer::default();
     r.observe(Instant::now(), &demand(&[("big-0", 5000.0)]));
@@ -67,7 +75,7 @@
 }
 
 #[test]
-fn plan_duplicates_make_way() {
+fn plan_unloads_duplicates() {
     let (roster, _) = roster(&[&["big-0"], &["big-1", "big-2"], &["big-1", "big-2"]]);
     let mut r = Rebalancer::default();
     r.observe(
@@ -77,18 +85,21 @@
     let moves = plan(&mut r, &roster, 3);
     let first = &moves.first().expect("there is a move").1;
     assert_eq!((first.load.as_str(), first.evict.len()), ("big-0", 1));
-    assert_eq!(first.evict[0], "big-1", "the least wanted goes");
+    assert_eq!(
+        first.evict[0], "big-1",
+        "the least needed model is unloaded"
+    );
 }
 
 #[test]
 fn plan_keeps_the_ceiling() {
-    // Two a second over five seconds and three on top, less two for orders that are carried out late.
+    // Two per second over five seconds plus three, less two for orders that are executed late.
     let names: Vec<String> = (0..40).map(|i| format!("big-{i}")).collect();
     let rows: Vec<&[&str]> = (0..40).map(|_| &[] as &[&str]).collect();
     let (roster, _) = roster(&rows);
-    let wanted: Vec<(&str, f64)> = names.iter().map(|n| (n.as_str(), 10.0)).collect();
+    let requested_loads: Vec<(&str, f64)> = names.iter().map(|n| (n.as_str(), 10.0)).collect();
     let mut r = Rebalancer::default();
-    r.observe(Instant::now(), &demand(&wanted));
+    r.observe(Instant::now(), &demand(&requested_loads));
     assert_eq!(plan(&mut r, &roster, 40).len(), 11);
     assert_eq!(plan(&mut r, &roster, 40).len(), 0);
 }
@@ -103,7 +114,7 @@
     advance(CEILING.window / 2).await;
     assert_eq!(plan(&mut r, &roster, 40).len(), 0);
     advance(CEILING.window).await;
-    // Models that nobody asks for come while few endpoints are being ordered.
+    // Models without demand are loaded while few endpoints execute orders.
     for (key, _) in &first {
         r.model_ended(Instant::now(), *key, true);
     }
@@ -111,7 +122,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_endpoint_that_failed_rests() {
+async fn plan_endpoint_backs_off_after_a_failure() {
     let (roster, keys) = roster(&[&[]]);
     let mut r = Rebalancer::default();
     assert_eq!(plan(&mut r, &roster, 1).len(), 1);
@@ -126,7 +137,7 @@
     let (roster, keys) = roster(&[&["big-0"], &["big-1"], &[], &[]]);
     let mut r = Rebalancer::default();
     let moves = plan(&mut r, &roster, 2);
-    // A quarter of four endpoints may be ordered at once for this.
+    // A quarter of the four endpoints may execute orders for this at the same time.
     assert_eq!(moves.len(), 1);
     let (key, m) = &moves[0];
     let zone = |k: EndpointKey| roster.get(k).expect("listed").zone.clone();
@@ -136,19 +147,19 @@
 
 #[test]
 fn plan_adapters_each_is_loaded_once() {
-    // Seven endpoints hold the model: an adapter that is asked for goes to one of them.
+    // Seven endpoints hold the model: a requested adapter is loaded on one of them.
     let (roster, _) = roster(&[&["big-0"] as &[&str]; 7]);
     let mut r = Rebalancer::default();
-    let asked = BTreeMap::from([(adapter("big-0", "a7"), 10.0)]);
-    r.observe(Instant::now(), &asked);
-    let wanted = |moves: &[(EndpointKey, AdapterMove)]| {
+    let requested = BTreeMap::from([(adapter("big-0", "a7"), 10.0)]);
+    r.observe(Instant::now(), &requested);
+    let requested_loads = |moves: &[(EndpointKey, AdapterMove)]| {
         let a7 = moves
             .iter()
             .filter(|(_, m)| m.load == adapter("big-0", "a7"));
         a7.count()
     };
-    assert_eq!(wanted(&adapters(&mut r, &roster)), 1);
-    assert_eq!(wanted(&adapters(&mut r, &roster)), 0);
+    assert_eq!(requested_loads(&adapters(&mut r, &roster)), 1);
+    assert_eq!(requested_loads(&adapters(&mut r, &roster)), 0);
 }
 
 #[test]
@@ -161,22 +172,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_adapters_that_are_nowhere_take_turns() {
-    // Both places carry more; one that waits long enough goes in all the same.
+async fn plan_adapters_missing_ones_alternate() {
+    // The adapters in both slots have more demand; one that has been missing for long enough is loaded
+    // nevertheless.
     let (mut roster, keys) = roster(&[&["big-0"]]);
     let mut full = holding(&["big-0"]);
     full.get_mut("big-0").expect("there").adapters = ["a1".into(), "a2".into()].into();
     roster.apply_entry(Instant::now(), site::endpoint(0, "a", full));
-    let asked = BTreeMap::from([
+    let requested = BTreeMap::from([
         (adapter("big-0", "a1"), 30.0),
         (adapter("big-0", "a2"), 40.0),
         (adapter("big-0", "a3"), 10.0),
     ]);
     let mut r = Rebalancer::default();
-    r.observe(Instant::now(), &asked);
+    r.observe(Instant::now(), &requested);
     assert_eq!(adapters(&mut r, &roster), []);
     advance(Duration::from_secs(6)).await;
-    r.observe(Instant::now(), &asked);
+    r.observe(Instant::now(), &requested);
     let moves = adapters(&mut r, &roster);
     let expected = AdapterMove {
         load: adapter("big-0", "a3"),
@@ -186,7 +198,7 @@
 }
 
 #[test]
-fn step_from_what_is_there() {
+fn step_by_reported_holdings() {
     let spec = engine(4);
     let m = ModelMove {
         load: "big-0".into(),
@@ -200,7 +212,7 @@
         (report(1, true, &["big-1", "big-2"]), Step::Wait),
         (report(2, false, &["big-2"]), Step::Load),
         (report(3, false, &["big-0", "big-2"]), Step::Done),
-        // Somebody loaded another model meanwhile: nothing that may go makes enough room.
+        // Another model was loaded meanwhile: unloading the listed models makes too little room.
         (report(3, false, &["big-2", "big-3"]), Step::NoRoom),
     ];
     for (r, expected) in cases {
@@ -220,8 +232,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_adapters_a_fresh_one_stays() {
-    // Callers who were told to come back for it find it, however much another is wanted meanwhile.
+async fn plan_adapters_keeps_a_recent_one() {
+    // Callers that were asked to retry find the adapter, however large the demand for another one is.
     let (mut roster, keys) = roster(&[&["big-0"]]);
     let mut r = Rebalancer::default();
     r.observe(
@@ -233,9 +245,9 @@
     let mut full = holding(&["big-0"]);
     full.get_mut("big-0").expect("there").adapters = ["a1".into(), "a2".into()].into();
     roster.apply_entry(Instant::now(), site::endpoint(0, "a", full));
-    let asked = BTreeMap::from([(adapter("big-0", "a3"), 500.0)]);
+    let requested = BTreeMap::from([(adapter("big-0", "a3"), 500.0)]);
     advance(Duration::from_millis(500)).await;
-    r.observe(Instant::now(), &asked);
+    r.observe(Instant::now(), &requested);
     let evicted = |moves: &[(EndpointKey, AdapterMove)]| moves[0].1.evict.clone();
     assert_eq!(
         evicted(&adapters(&mut r, &roster)),
@@ -244,9 +256,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn plan_adapters_endpoint_where_none_could_be_loaded_rests() {
-    // The list shows a free place that the endpoint's own report doesn't: the same move would be chosen without
-    // end, and hold up all others.
+async fn plan_adapters_endpoint_backs_off_after_a_failure() {
+    // The list shows a free slot that the endpoint's own report doesn't show: without the backoff the same move
+    // would be chosen repeatedly and delay all others.
     let (roster, keys) = roster(&[&["big-0"]]);
     let mut r = Rebalancer::default();
     r.observe(
@@ -261,8 +273,8 @@
 }
 
 #[test]
-fn plan_missing_model_spares_a_hot_one() {
-    // Both endpoints carry the hot model; one that is hardly asked for doesn't take a replica of it.
+fn plan_missing_model_keeps_a_busy_one() {
+    // Both endpoints hold the busy model; a rarely requested model doesn't replace one of its replicas.
     let (roster, _) = roster(&[&["big-0", "big-1"], &["big-0", "big-2"]]);
     let mut r = Rebalancer::default();
     r.observe(
@@ -275,7 +287,8 @@
     assert_eq!(loads(&plan(&mut r, &roster, 4)), ["big-3"]);
 }
 
-/// Gives a site whose endpoints each hold a model with adapters that is nowhere else, and a duplicate.
+/// Returns a site whose endpoints each hold the only replica of a model with adapters, and a duplicate of
+/// another model.
 fn adapters_everywhere() -> (Roster, limehollow::catalog::EngineSpec) {
     let (roster, _) = roster(&[&["big-0", "big-2"], &["big-1", "big-2"]]);
     let mut spec = engine(4);
@@ -301,20 +314,20 @@
 
 #[test]
 fn plan_prefers_the_endpoint_with_a_copy() {
-    // The second endpoint carries a little more, but is ready seven seconds sooner.
+    // The endpoint with a copy has a slightly higher load, but is ready seven seconds sooner.
     let (mut roster, keys) = roster(&[&["big-0"], &["big-1"], &["big-2"]]);
     let mut with_copy = roster.get(keys[2]).expect("it is listed").clone();
     with_copy.copies.insert("big-0".into());
     roster.apply_entry(Instant::now(), with_copy);
     let mut r = Rebalancer::default();
-    let asked = demand(&[("big-0", 2000.0), ("big-1", 10.0), ("big-2", 250.0)]);
-    r.observe(Instant::now(), &asked);
+    let requested = demand(&[("big-0", 2000.0), ("big-1", 10.0), ("big-2", 250.0)]);
+    r.observe(Instant::now(), &requested);
     let moves = plan(&mut r, &roster, 3);
     assert_eq!(moves.first().map(|(k, _)| *k), Some(keys[2]));
 }
 
 #[test]
-fn plan_model_of_an_endpoint_out_of_reach_goes_elsewhere() {
+fn plan_reloads_models_of_an_unreachable_endpoint() {
     let (roster, keys) = roster(&[&["big-0"], &["big-1"], &["big-1"]]);
     let mut r = Rebalancer::default();
     r.observe(Instant::now(), &demand(&[("big-0", 50.0)]));
@@ -323,25 +336,26 @@
     assert_eq!(loads(&moves)[0], "big-0");
     assert!(
         moves.iter().all(|(k, _)| *k != keys[0]),
-        "it takes no orders"
+        "the endpoint gets no orders"
     );
 }
 
 #[test]
-fn plan_missing_model_however_much_it_is_asked_for() {
+fn plan_missing_model_for_any_demand() {
     let (roster, _) = roster(&[&["big-0", "big-1"], &["big-0", "big-1"]]);
-    for asked in [10.0, 300.0, 1000.0, 3000.0, 6000.0, 20_000.0] {
+    for requested in [10.0, 300.0, 1000.0, 3000.0, 6000.0, 20_000.0] {
         let mut r = Rebalancer::default();
-        let asked = [("big-2", asked), ("big-0", 200.0), ("big-1", 200.0)];
-        r.observe(Instant::now(), &demand(&asked));
+        let requested = [("big-2", requested), ("big-0", 200.0), ("big-1", 200.0)];
+        r.observe(Instant::now(), &demand(&requested));
         let moves = plan(&mut r, &roster, 3);
-        assert_eq!(loads(&moves).first(), Some(&"big-2"), "{asked:?}");
+        assert_eq!(loads(&moves).first(), Some(&"big-2"), "{requested:?}");
     }
 }
 
 #[test]
 fn plan_first_replica_of_a_zone_before_a_second() {
-    // All of the model's replicas are in zone a; of two endpoints with room the one in zone b comes last.
+    // All replicas of the model are in zone `a`; of two endpoints with free memory, the one in zone `b` comes
+    // last.
     let hot: &[&str] = &["big-0"];
     let full: &[&str] = &["big-1", "big-2"];
     let full_too: &[&str] = &["big-3", "big-4"];
