--- a/crates/limehollow/tests/site/mod.rs
+++ b/crates/limehollow/tests/site/mod.rs
@@ -1,4 +1,4 @@
-//! A small site: one service that runs models, one plain service, endpoints in two zones.
+//! Builds a small site: one service that runs models, one plain service, and endpoints in two zones.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -27,7 +27,7 @@
     Duration::from_millis(ms)
 }
 
-/// Models of 70 GB; `big-0` has adapters.
+/// Returns a service with models of 70 GB; `big-0` has adapters.
 pub fn engine(models: usize) -> EngineSpec {
     let model = |i: usize| {
         let name = format_smolstr!("big-{i}");
@@ -76,7 +76,7 @@
     }
 }
 
-/// A roster with an endpoint for each list of models, in zones `a` and `b` by turns.
+/// Returns a roster with an endpoint for each list of models, alternating between zones `a` and `b`.
 pub fn roster(models: &[&[&str]]) -> (Roster, Vec<EndpointKey>) {
     let mut r = Roster::default();
     for (i, m) in models.iter().enumerate() {
