--- a/crates/limehollow/tests/keeping_places.rs
+++ b/crates/limehollow/tests/keeping_places.rs
@@ -1,8 +1,10 @@
-//! A played load on the choice of endpoints, with many VMs that hear from each other late: what streams' callers get.
+//! Simulates load on the choice of endpoints, with many VMs that receive each other's reports late, and checks
+//! how many streams pause.
 //!
-//! While each VM chose by itself, 16 in 100 streams had a pause above the longest one that keeps them in time, at endpoints
-//! of which three quarters of the time was free: all VMs sent their next prompts to the one that looked emptiest. Among streams
-//! beside which at most three prompts came within a quarter of a second 1 to 3 in 100 paused, beside eight or more 25 to 28.
+//! When each VM chose independently, 16 in 100 streams had a pause longer than allowed, at endpoints that were
+//! idle three quarters of the time: all VMs sent their next prompts to the endpoint with the lowest reported
+//! load. Of the streams that had at most three prompts beside them within a quarter of a second 1 to 3 in 100
+//! paused, with eight or more 25 to 28.
 
 mod site;
 
@@ -19,30 +21,30 @@
 use tokio::time::Instant;
 
 const STEP: Duration = Duration::from_millis(5);
-/// How often a VM of a large zone tells the others what it has.
-const TOLD_EVERY: u32 = 48;
-/// What a prompt takes to be read, and for how long its stream runs then.
-const READ: Duration = Duration::from_millis(80);
-const RUNS: Duration = Duration::from_millis(1200);
-/// The longest pause that keeps a stream in time.
+/// The number of steps between two reports of a VM in a large zone.
+const REPORT_EVERY: u32 = 48;
+/// The processing time of a prompt, and the duration of its stream afterwards.
+const PROCESSING_TIME: Duration = Duration::from_millis(80);
+const STREAM_TIME: Duration = Duration::from_millis(1200);
+/// The longest pause with which a stream is still in time.
 const PAUSE: Duration = Duration::from_millis(300);
 const ENDPOINTS: u8 = 24;
-/// Requests a second for each endpoint: a third of what it could read.
+/// Requests per second for each endpoint: a third of its capacity for prompts.
 const RATE: f64 = 4.0;
 
-/// Who chooses.
+/// The component that chooses endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chooses {
+enum ChosenBy {
     EachVm,
-    OneKeeper,
+    Coordinator,
 }
 
-/// What an endpoint does: it reads prompts one after the other, and its streams wait meanwhile.
+/// A simulated endpoint, which processes prompts one after the other while its streams wait.
 #[derive(Default)]
 struct Endpoint {
     prompts: VecDeque<usize>,
     reading: Duration,
-    /// For how long it has read without a step for its streams.
+    /// The time for which the endpoint has processed prompts without a step for its streams.
     busy: Duration,
     running: Vec<usize>,
 }
@@ -54,7 +56,7 @@
     paused: bool,
 }
 
-/// A request with a prompt that no other shares.
+/// Returns a request with a prompt that no other request shares.
 fn prompt(id: u64) -> Job {
     let parts = [PromptPart { id, tokens: 1460 }];
     Job::generation(llm(), model("big-0"), 0, (1460, 172), &parts)
@@ -85,15 +87,19 @@
         }
     }
 
-    fn choose(&mut self, vm: usize, j: &Job, chooses: Chooses) -> Option<EndpointKey> {
+    fn choose(&mut self, vm: usize, j: &Job, chosen_by: ChosenBy) -> Option<EndpointKey> {
         let bounds = Bounds {
             kv_tokens: Some(200_000),
             reading_ms: PAUSE.as_secs_f64() * 500.0,
         };
-        let at = if chooses == Chooses::OneKeeper { 0 } else { vm };
+        let at = if chosen_by == ChosenBy::Coordinator {
+            0
+        } else {
+            vm
+        };
         match self.vms[at].choose(self.now, &self.roster, bounds, j, &[]) {
             Choice::To(key, _) => {
-                if chooses == Chooses::OneKeeper {
+                if chosen_by == ChosenBy::Coordinator {
                     self.vms[at].record_assignment(self.now, key, j);
                 }
                 Some(key)
@@ -102,21 +108,25 @@
         }
     }
 
-    /// A caller comes to a VM. Gives whether its request was sent.
-    fn arrive(&mut self, chooses: Chooses) -> bool {
+    /// Lets a caller send a request to a random VM. Returns whether the request was sent.
+    fn arrive(&mut self, chosen_by: ChosenBy) -> bool {
         let vm = self.rng.random_range(0..self.vms.len());
         let j = prompt(self.streams.len() as u64);
-        let Some(key) = self.choose(vm, &j, chooses) else {
+        let Some(key) = self.choose(vm, &j, chosen_by) else {
             return false;
         };
         let e = self.roster.get(key).expect("it is listed");
         let sent = self.vms[vm].start(self.now, (key, e), &j, 100.0);
-        let at = self.keys.iter().position(|k| *k == key).expect("it is one");
+        let at = self
+            .keys
+            .iter()
+            .position(|k| *k == key)
+            .expect("the key is known");
         self.endpoints[at].prompts.push_back(self.streams.len());
         self.streams.push(Stream {
             vm,
             sent: Some(sent),
-            left: RUNS,
+            left: STREAM_TIME,
             paused: false,
         });
         true
@@ -136,7 +146,7 @@
                     self.streams[*i].paused = true;
                 }
             }
-            if e.reading >= READ {
+            if e.reading >= PROCESSING_TIME {
                 e.reading = Duration::ZERO;
                 let i = e.prompts.pop_front().expect("it was read");
                 let s = &mut self.streams[i];
@@ -158,26 +168,27 @@
         }
     }
 
-    /// A VM tells the others what it has; only the keeper matters where it chooses.
-    fn tell(&mut self, vm: usize, chooses: Chooses) {
-        let said: Vec<(EndpointKey, Taken)> = self.vms[vm].own().collect();
+    /// Delivers a VM's report to the others; if the coordinator chooses, only it needs the report.
+    fn report(&mut self, vm: usize, chosen_by: ChosenBy) {
+        let reported: Vec<(EndpointKey, Taken)> = self.vms[vm].own().collect();
         let name = VmName::from(format!("vm-{vm}"));
         for (i, other) in self.vms.iter_mut().enumerate() {
-            let listens = chooses == Chooses::EachVm || i == 0;
-            if listens && i != vm {
-                other.receive(self.now, name.clone(), said.clone());
+            let receives = chosen_by == ChosenBy::EachVm || i == 0;
+            if receives && i != vm {
+                other.receive(self.now, name.clone(), reported.clone());
             }
         }
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a test has few requests")]
-fn part(some: usize, all: usize) -> f64 {
+fn fraction(some: usize, all: usize) -> f64 {
     some as f64 / all as f64
 }
 
-/// Plays some seconds. Gives the part of the streams that paused, and of the callers that found all endpoints crowded.
-fn play(vms: usize, chooses: Chooses) -> (f64, f64) {
+/// Simulates some seconds. Returns the fraction of streams that paused, and of callers that found all endpoints
+/// overloaded.
+fn simulate(vms: usize, chosen_by: ChosenBy) -> (f64, f64) {
     let mut load = Load::new(vms);
     let mut due = 0.0;
     let mut sent: BTreeMap<bool, usize> = BTreeMap::new();
@@ -185,12 +196,12 @@
         due += RATE * f64::from(ENDPOINTS) * STEP.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
-            *sent.entry(load.arrive(chooses)).or_default() += 1;
+            *sent.entry(load.arrive(chosen_by)).or_default() += 1;
         }
-        // Each VM tells at its own moment.
+        // The VMs report at different times.
         for vm in 0..vms {
-            if (i + u32::try_from(vm).expect("few")) % TOLD_EVERY == 0 {
-                load.tell(vm, chooses);
+            if (i + u32::try_from(vm).expect("few")) % REPORT_EVERY == 0 {
+                load.report(vm, chosen_by);
             }
         }
         load.step();
@@ -198,29 +209,32 @@
     let paused = load.streams.iter().filter(|s| s.paused).count();
     let refused = sent.get(&false).copied().unwrap_or(0);
     let sent = load.streams.len();
-    (part(paused, sent), part(refused, sent + refused))
+    (fraction(paused, sent), fraction(refused, sent + refused))
 }
 
 #[test]
-fn keeper_keeps_streams_from_pausing() {
+fn coordinator_prevents_pauses() {
     for vms in [8, 69, 295] {
-        let (paused, crowded) = play(vms, Chooses::OneKeeper);
+        let (paused, overloaded) = simulate(vms, ChosenBy::Coordinator);
         assert!(paused <= 0.05, "{paused} of the streams with {vms} VMs");
-        assert!(crowded <= 0.02, "{crowded} of the callers with {vms} VMs");
+        assert!(
+            overloaded <= 0.02,
+            "{overloaded} of the callers with {vms} VMs"
+        );
     }
 }
 
-/// Shows that the load is one on which it matters who chooses.
+/// Shows that the choice by a coordinator matters for this load.
 #[test]
-fn vms_that_choose_by_themselves_crowd() {
+fn independent_vms_overload_endpoints() {
     for vms in [8, 69] {
-        let (paused, _) = play(vms, Chooses::EachVm);
+        let (paused, _) = simulate(vms, ChosenBy::EachVm);
         assert!(paused > 0.2, "{paused} of the streams with {vms} VMs");
     }
 }
 
 #[test]
-fn promises_show_before_others_tell_of_them() {
+fn assignments_count_before_they_are_reported() {
     let (r, keys) = roster(&[&["big-0"], &["big-0"]]);
     let now = Instant::now();
     let mut b = Balance::new("c".into());
