--- a/crates/limehollow/src/replay.rs
+++ b/crates/limehollow/src/replay.rs
@@ -80,8 +80,8 @@
         is_newer
     }
 
-    /// Consumes the next entry of the log. Returns the result of that entry, and of buffered ones, that
-    /// could be applied.
+    /// Consumes the next entry of the log. Returns the results of this entry and of buffered entries, as far
+    /// as they could be applied.
     pub fn push_entry(&mut self, entry: Entry) -> Vec<Applied> {
         if let Content::Snapshot { next, fleet } = &entry.content {
             self.last_snapshot = Some((*next, entry.at));
