--- a/crates/limehollow/tests/claim.rs
+++ b/crates/limehollow/tests/claim.rs
@@ -7,7 +7,7 @@
 
 const RETENTION_MS: u64 = 1_000;
 
-fn who(vm: &str, number: u64) -> Claimant {
+fn claimant(vm: &str, number: u64) -> Claimant {
     Claimant {
         vm: vm.into(),
         incarnation: 1,
@@ -17,11 +17,11 @@
 }
 
 fn claim(key: KeyHash, vm: &str, number: u64) -> ClaimRecord {
-    ClaimRecord::Claim(key, who(vm, number))
+    ClaimRecord::Claim(key, claimant(vm, number))
 }
 
 fn release(key: KeyHash, vm: &str, number: u64) -> ClaimRecord {
-    ClaimRecord::Release(key, who(vm, number))
+    ClaimRecord::Release(key, claimant(vm, number))
 }
 
 /// Applies each record as its own batch, 100 ms after the previous one.
@@ -36,7 +36,7 @@
 #[test]
 fn state_first_claim_wins() {
     let c = claims(&[claim(7, "vm-1", 1), claim(7, "vm-2", 1)]);
-    assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(claimant("vm-1", 1)));
     assert_eq!(c.state(8), ClaimState::Free);
 }
 
@@ -48,7 +48,7 @@
         LogTime(0),
         &[claim(7, "vm-2", 1), claim(7, "vm-1", 1)],
     );
-    assert_eq!(c.state(7), ClaimState::Held(who("vm-2", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(claimant("vm-2", 1)));
 }
 
 #[test]
@@ -58,20 +58,20 @@
         release(7, "vm-2", 1),
         release(7, "vm-1", 2),
     ]);
-    assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(claimant("vm-1", 1)));
     let c = claims(&[
         claim(7, "vm-1", 1),
         release(7, "vm-1", 1),
         claim(7, "vm-2", 1),
     ]);
-    assert_eq!(c.state(7), ClaimState::Held(who("vm-2", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(claimant("vm-2", 1)));
 }
 
 #[test]
 fn evict_by_age() {
     let mut c = claims(&[claim(7, "vm-1", 1)]);
     c.apply(Offset(1), LogTime(RETENTION_MS - 1), &[]);
-    assert_eq!(c.state(7), ClaimState::Held(who("vm-1", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(claimant("vm-1", 1)));
     c.apply(Offset(2), LogTime(RETENTION_MS), &[]);
     assert_eq!(c.state(7), ClaimState::Free);
 }
@@ -82,7 +82,7 @@
     let mut c = claims(&[claim(7, "vm-1", 1), release(7, "vm-1", 1)]);
     c.apply(Offset(2), LogTime(900), &[claim(7, "vm-2", 1)]);
     c.apply(Offset(3), LogTime(1_100), &[]);
-    assert_eq!(c.state(7), ClaimState::Held(who("vm-2", 1)));
+    assert_eq!(c.state(7), ClaimState::Held(claimant("vm-2", 1)));
     c.apply(Offset(4), LogTime(1_900), &[]);
     assert_eq!(c.state(7), ClaimState::Free);
 }
@@ -119,7 +119,7 @@
             let mut released: BTreeSet<Claimant> = BTreeSet::new();
             for (i, (vm, key, releases)) in (0_u64..).zip(input.iter().take(100)) {
                 let key = KeyHash::from(key % 3);
-                let me = who(["vm-1", "vm-2", "vm-3"][usize::from(vm % 3)], i);
+                let me = claimant(["vm-1", "vm-2", "vm-3"][usize::from(vm % 3)], i);
                 all.apply(
                     Offset(2 * i),
                     LogTime(i),
