--- a/crates/limehollow/src/catalog.rs
+++ b/crates/limehollow/src/catalog.rs
@@ -156,9 +156,11 @@
     /// The indices into `rules` for each host, longest prefix first.
     by_host: HashMap<SmolStr, Vec<usize>>,
     /// The shortest objective of each service's rules.
-    tightest: BTreeMap<ServiceName, Duration>,
+    #[serde(rename = "tightest")]
+    shortest_objectives: BTreeMap<ServiceName, Duration>,
     /// The shortest pause among each service's rules.
-    pauses: BTreeMap<ServiceName, Duration>,
+    #[serde(rename = "pauses")]
+    shortest_pauses: BTreeMap<ServiceName, Duration>,
 }
 
 impl Catalog {
@@ -177,14 +179,14 @@
         for found in by_host.values_mut() {
             found.sort_by_key(|i| std::cmp::Reverse(rules[*i].prefix.len()));
         }
-        let mut tightest: BTreeMap<ServiceName, Duration> = BTreeMap::new();
-        let mut pauses: BTreeMap<ServiceName, Duration> = BTreeMap::new();
+        let mut shortest_objectives: BTreeMap<ServiceName, Duration> = BTreeMap::new();
+        let mut shortest_pauses: BTreeMap<ServiceName, Duration> = BTreeMap::new();
         for r in &rules {
             for s in &r.shares {
-                let t = tightest.entry(s.service.clone()).or_insert(r.objective);
+                let t = shortest_objectives.entry(s.service.clone()).or_insert(r.objective);
                 *t = r.objective.min(*t);
                 if let Some(pause) = r.pause {
-                    let p = pauses.entry(s.service.clone()).or_insert(pause);
+                    let p = shortest_pauses.entry(s.service.clone()).or_insert(pause);
                     *p = pause.min(*p);
                 }
             }
@@ -196,8 +198,8 @@
             workspaces: Workspaces::default(),
             rules,
             by_host,
-            tightest,
-            pauses,
+            shortest_objectives,
+            shortest_pauses,
         }
     }
 
@@ -225,13 +227,13 @@
     /// Returns the shortest pause among the rules that route to a service.
     #[must_use]
     pub fn shortest_pause(&self, service: &ServiceName) -> Option<Duration> {
-        self.pauses.get(service).copied()
+        self.shortest_pauses.get(service).copied()
     }
 
     /// Returns the shortest objective among the rules that route to a service.
     #[must_use]
     pub fn shortest_objective(&self, service: &ServiceName) -> Option<Duration> {
-        self.tightest.get(service).copied()
+        self.shortest_objectives.get(service).copied()
     }
 
     /// Returns all rules.
