--- a/crates/limehollow/src/catalog.rs
+++ b/crates/limehollow/src/catalog.rs
@@ -183,7 +183,9 @@
         let mut shortest_pauses: BTreeMap<ServiceName, Duration> = BTreeMap::new();
         for r in &rules {
             for s in &r.shares {
-                let t = shortest_objectives.entry(s.service.clone()).or_insert(r.objective);
+                let t = shortest_objectives
+                    .entry(s.service.clone())
+                    .or_insert(r.objective);
                 *t = r.objective.min(*t);
                 if let Some(pause) = r.pause {
                     let p = shortest_pauses.entry(s.service.clone()).or_insert(pause);
