--- a/crates/limehollow/tests/quarantine.rs
+++ b/crates/limehollow/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What VMs know of requests that crash endpoints: who is sure when, who is cleared, and what is kept.
+//! Tests of the records of requests that crash endpoints: quarantine, clearing, merging, expiry.
 
 use limehollow::crash_record::{CrashRecord, EARLY, StartTag, Timing};
 use limehollow::fingerprint::{Fingerprint, Identity, OriginTag};
@@ -32,7 +32,7 @@
     q.record_crash(now, (request, origin(1)), start(n), Timing::Early)
 }
 
-fn is_held(q: &Quarantine, now: Instant, request: Fingerprint) -> bool {
+fn is_quarantined(q: &Quarantine, now: Instant, request: Fingerprint) -> bool {
     matches!(q.standing(now, request), Standing::Quarantined(_))
 }
 
@@ -49,13 +49,13 @@
     assert_eq!(q.standing(now, r), Standing::Clear);
     crash(&mut q, now, r, 1);
     assert_eq!(q.standing(now, r), Standing::Suspect);
-    // Two VMs saw the same end, or one saw it twice.
+    // Two VMs saw the same crash, or one VM saw it twice.
     assert_eq!(crash(&mut q, now, r, 1), Outcome::default());
     crash(&mut q, now, r, 2);
     assert_eq!(q.standing(now, r), Standing::Suspect);
     assert!(crash(&mut q, now, r, 3).is_quarantined);
     assert_eq!(q.standing(now, r), Standing::Quarantined(10 * MINUTE));
-    // Another request of the caller isn't touched by it.
+    // Another request of the same caller isn't affected.
     assert_eq!(q.standing(now, request(1, 2)), Standing::Clear);
 }
 
@@ -67,11 +67,11 @@
         assert_eq!(q.standing(now, r), Standing::Suspect);
     }
     q.record_crash(now, (r, origin(1)), start(4), Timing::Late);
-    assert!(is_held(&q, now, r));
+    assert!(is_quarantined(&q, now, r));
 }
 
 #[test]
-fn standing_of_same_id_started_again_counts_each_start() {
+fn standing_counts_each_start_of_the_same_id() {
     let (mut q, now, r) = (Quarantine::default(), Instant::now(), request(1, 1));
     for born in [Some(1), Some(2), Some(3)] {
         let i = Instance {
@@ -80,11 +80,11 @@
         };
         q.record_crash(now, (r, origin(1)), StartTag::from(&i), Timing::Early);
     }
-    assert!(is_held(&q, now, r));
+    assert!(is_quarantined(&q, now, r));
 }
 
 #[test]
-fn clear_begins_anew_on_all_vms() {
+fn clear_begins_a_new_generation_on_all_vms() {
     let (mut a, mut b) = (Quarantine::default(), Quarantine::default());
     let (now, r) = (Instant::now(), request(1, 1));
     for n in 0..2 {
@@ -93,7 +93,7 @@
     b.merge(now, &a.record(now, r).expect("it is known"));
     assert!(b.clear(now, r));
     assert_eq!(b.standing(now, r), Standing::Clear);
-    // A VM that hasn't heard of it yet doesn't bring the crashes back.
+    // A VM that doesn't know of the clearing yet doesn't bring the crashes back.
     b.merge(now, &a.record(now, r).expect("it is known"));
     assert_eq!(b.standing(now, r), Standing::Clear);
     a.merge(now, &b.record(now, r).expect("it is known"));
@@ -101,7 +101,7 @@
     assert_eq!(a.digest(), b.digest());
     crash(&mut a, now, r, 7);
     assert_eq!(a.standing(now, r), Standing::Suspect);
-    assert!(!a.clear(now, request(1, 2)), "nothing spoke against it");
+    assert!(!a.clear(now, request(1, 2)), "no crash was known");
 }
 
 #[test]
@@ -111,14 +111,14 @@
         crash(&mut q, now, r, n);
     }
     let later = now + 10 * MINUTE;
-    // It proves itself where it takes the fewest others along.
+    // It may run again, as a suspect.
     assert_eq!(q.standing(later, r), Standing::Suspect);
     assert!(crash(&mut q, later, r, 3).is_quarantined);
     assert_eq!(q.standing(later, r), Standing::Quarantined(20 * MINUTE));
-    // Each VM that was told reckons the same end.
+    // Each VM that receives the record computes the same end.
     let mut other = Quarantine::default();
-    let told = q.record(later + MINUTE, r).expect("it is known");
-    other.merge(later + MINUTE, &told);
+    let batch = q.record(later + MINUTE, r).expect("it is known");
+    other.merge(later + MINUTE, &batch);
     assert_eq!(
         other.standing(later + MINUTE, r),
         Standing::Quarantined(19 * MINUTE)
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn sweep_forgets_suspects_sooner_than_causes() {
+fn sweep_removes_suspects_sooner_than_causes() {
     let (mut q, now) = (Quarantine::default(), Instant::now());
     let (innocent, cause) = (request(1, 1), request(1, 2));
     crash(&mut q, now, innocent, 1);
@@ -138,7 +138,7 @@
     assert_eq!(q.standing(now + 10 * MINUTE, cause), Standing::Suspect);
     assert_eq!(q.sweep(now + 25 * 60 * MINUTE), [cause]);
     assert_eq!(q.digest(), Quarantine::default().digest());
-    // What is that old isn't taken in again from a VM that still has it.
+    // An expired record isn't merged again from a VM that still has it.
     let old = CrashRecord {
         request: innocent,
         origin: origin(1),
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn flood_of_one_caller_pushes_out_its_own() {
+fn flood_of_one_caller_evicts_its_own_records() {
     let (mut q, now) = (Quarantine::default(), Instant::now());
     let (cause, suspect) = (request(1, 1), request(2, 1));
     for n in 0..3 {
@@ -162,34 +162,34 @@
         q.record_crash(later, (request(3, n), origin(3)), start(n), Timing::Early);
     }
     assert_eq!(q.records(now).len(), MAX_RECORDS);
-    assert!(is_held(&q, now, cause));
+    assert!(is_quarantined(&q, now, cause));
     assert_eq!(q.standing(now, suspect), Standing::Suspect);
 }
 
 #[test]
-fn request_that_runs_elsewhere_isnt_suspect() {
+fn request_that_completes_elsewhere_is_no_suspect() {
     let (mut a, mut b) = (Quarantine::default(), Quarantine::default());
     let (now, r) = (Instant::now(), request(1, 1));
     let later = now + Duration::from_secs(30);
     a.record_answer(now, r);
-    // All endpoints that run what many callers ask for crash at once, as one VM sees it.
+    // One VM sees all endpoints that run a common request crash at once.
     for n in 0..3 {
         crash(&mut b, later, r, n);
     }
-    assert!(is_held(&b, later, r));
-    // A VM that has seen it run says so.
-    let told = b.record(later, r).expect("it is known");
-    assert!(!a.merge(later, &told).is_quarantined);
+    assert!(is_quarantined(&b, later, r));
+    // A VM that has seen the request complete clears it.
+    let batch = b.record(later, r).expect("it is known");
+    assert!(!a.merge(later, &batch).is_quarantined);
     assert_eq!(a.standing(later, r), Standing::Clear);
     b.merge(later, &a.record(later, r).expect("it is known"));
     assert_eq!(b.standing(later, r), Standing::Clear);
-    // A minute after its last answer that says nothing any more.
+    // A minute after the last answer, that answer doesn't count any more.
     crash(&mut a, now + MINUTE, r, 9);
     assert_eq!(a.standing(now + MINUTE, r), Standing::Suspect);
 }
 
 #[test]
-fn take_told_says_early_crashes_three_times_and_late_ones_once() {
+fn take_batch_sends_early_crashes_three_times_and_late_ones_once() {
     let (mut q, now) = (Quarantine::default(), Instant::now());
     for n in 0..20 {
         crash(&mut q, now, request(1, n), n);
@@ -197,20 +197,20 @@
     }
     let (mut own_zone, mut other_zones) = (0, 0);
     for _ in 0..10 {
-        let told = q.take_batch(now);
+        let batch = q.take_batch(now);
         assert!(
-            told.own_zone.len() <= 16,
+            batch.own_zone.len() <= 16,
             "{} in one message",
-            told.own_zone.len()
+            batch.own_zone.len()
         );
-        own_zone += told.own_zone.len();
-        other_zones += told.other_zones.len();
+        own_zone += batch.own_zone.len();
+        other_zones += batch.other_zones.len();
     }
     assert_eq!((own_zone, other_zones), (80, 80));
 }
 
 #[test]
-fn merge_any_order_gives_the_same() {
+fn merge_gives_the_same_in_any_order() {
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool, u8)>>()
         .for_each(|steps| {
