--- a/crates/limehollow/tests/backpressure.rs
+++ b/crates/limehollow/tests/backpressure.rs
@@ -1,4 +1,4 @@
-//! What one VM makes of endpoints' words that overtake each other, come late, or contradict those of other VMs.
+//! Tests of endpoints' signals that arrive out of order or late, or that contradict those known to other VMs.
 
 use limehollow::backpressure::{Backpressure, LEAST_RATE, MAX_BACKOFF, RateSignal, Signals};
 use limehollow::backpressure::{RateChange, RateObservation, SignalChange};
@@ -7,13 +7,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const TOLD_FOR: Duration = Duration::from_secs(1);
+const SEND_FOR: Duration = Duration::from_secs(1);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn named(rate: f64) -> Signals {
+fn stated(rate: f64) -> Signals {
     Signals {
         rate: RateSignal::Named(rate),
         ..Signals::default()
@@ -27,13 +27,13 @@
     }
 }
 
-struct Hearing {
+struct Fixture {
     t: Instant,
     key: EndpointKey,
     b: Backpressure,
 }
 
-impl Hearing {
+impl Fixture {
     fn new() -> Self {
         let mut keys: SlotMap<EndpointKey, ()> = SlotMap::with_key();
         Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Hears an answer at so many ms to a request sent at so many.
+    /// Observes an answer that was received at `received_at` to a request that was sent at `sent_at`, in ms.
     fn observe(&mut self, sent_at: u64, received_at: u64, s: Signals) -> SignalChange {
         let (sent_at, now) = (self.t + ms(sent_at), self.t + ms(received_at));
         self.b.observe(now, self.key, sent_at, s)
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn hear_limit_until_an_answer_without_one_that_was_sent_after() {
-    let mut h = Hearing::new();
-    assert_eq!(h.observe(0, 10, named(2.5)).rate, RateChange::Limited(2.5));
-    assert_eq!(h.observe(20, 30, named(2.5)).rate, RateChange::Unchanged);
-    // This answer may have been written before the one that named the limit.
+fn observe_limit_until_a_later_answer_without_one() {
+    let mut h = Fixture::new();
+    assert_eq!(h.observe(0, 10, stated(2.5)).rate, RateChange::Limited(2.5));
+    assert_eq!(h.observe(20, 30, stated(2.5)).rate, RateChange::Unchanged);
+    // This answer may have been written before the one that stated the limit.
     assert_eq!(
         h.observe(5, 40, Signals::default()).rate,
         RateChange::Unchanged
@@ -83,15 +83,15 @@
         RateChange::Ended
     );
     assert_eq!(h.rate(), None);
-    // Late news of the limit that has ended.
-    assert_eq!(h.observe(0, 70, named(2.5)).rate, RateChange::Limited(2.5));
+    // A late answer that states the limit that has ended.
+    assert_eq!(h.observe(0, 70, stated(2.5)).rate, RateChange::Limited(2.5));
 }
 
 #[test]
-fn hear_answers_without_a_limit_that_overlap_all_the_time() {
-    let mut h = Hearing::new();
-    h.observe(0, 10, named(2.5));
-    // Requests take 500 ms and follow on each other each 50 ms: some was sent after the limit was heard.
+fn observe_overlapping_answers_without_a_limit() {
+    let mut h = Fixture::new();
+    h.observe(0, 10, stated(2.5));
+    // Requests take 500 ms and are sent every 50 ms: some were sent after the limit was received.
     for n in 0..5 {
         h.observe(n * 50, n * 50 + 500, Signals::default());
     }
@@ -99,21 +99,21 @@
 }
 
 #[test]
-fn hear_two_limits_in_an_order_that_cant_be_told() {
-    let mut h = Hearing::new();
-    h.observe(0, 100, named(3.0));
-    h.observe(50, 150, named(2.0));
+fn observe_two_limits_in_unknown_order() {
+    let mut h = Fixture::new();
+    h.observe(0, 100, stated(3.0));
+    h.observe(50, 150, stated(2.0));
     assert_eq!(h.rate(), Some(2.0));
-    h.observe(60, 160, named(3.0));
+    h.observe(60, 160, stated(3.0));
     assert_eq!(h.rate(), Some(2.0));
-    h.observe(151, 200, named(3.0));
+    h.observe(151, 200, stated(3.0));
     assert_eq!(h.rate(), Some(3.0));
 }
 
 #[test]
-fn hear_unreadable_limit_ends_none() {
-    let mut h = Hearing::new();
-    h.observe(0, 10, named(2.0));
+fn observe_unreadable_limit_changes_nothing() {
+    let mut h = Fixture::new();
+    h.observe(0, 10, stated(2.0));
     let s = Signals {
         rate: RateSignal::Unreadable,
         ..Signals::default()
@@ -123,19 +123,19 @@
 }
 
 #[test]
-fn hear_extreme_limits() {
-    let mut h = Hearing::new();
-    // With nothing at all nobody would hear that the limit has ended.
-    h.observe(0, 10, named(0.0));
+fn observe_extreme_limits() {
+    let mut h = Fixture::new();
+    // Without any requests, no answer could show that the limit has ended.
+    h.observe(0, 10, stated(0.0));
     assert_eq!(h.rate(), Some(LEAST_RATE));
-    h.observe(20, 30, named(1e300));
+    h.observe(20, 30, stated(1e300));
     assert_eq!(h.rate(), None);
 }
 
 #[test]
-fn hear_rests_whichever_comes_first() {
+fn observe_backoffs_in_any_order() {
     for order in [[3000, 1000], [1000, 3000]] {
-        let mut h = Hearing::new();
+        let mut h = Fixture::new();
         for r in order {
             h.observe(0, 0, backoff(ms(r)));
         }
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn hear_longest_and_empty_rest() {
-    let mut h = Hearing::new();
+fn observe_longest_and_empty_backoff() {
+    let mut h = Fixture::new();
     assert_eq!(h.observe(0, 0, backoff(Duration::ZERO)).backoff, None);
     assert_eq!(h.opens_in(0), None);
     h.observe(0, 0, backoff(Duration::MAX));
@@ -155,27 +155,27 @@
 }
 
 #[test]
-fn join_word_of_another_vm_older_than_the_end() {
-    let mut h = Hearing::new();
-    let word = |rate, sent_at, received_at| RateObservation {
+fn merge_older_observation_of_another_vm() {
+    let mut h = Fixture::new();
+    let observation = |rate, sent_at, received_at| RateObservation {
         rate,
         sent_at: h.t + ms(sent_at),
         received_at: h.t + ms(received_at),
     };
-    let (limit, end) = (word(Some(2.0), 0, 10), word(None, 1000, 1010));
+    let (limit, end) = (observation(Some(2.0), 0, 10), observation(None, 1000, 1010));
     let later = h.t + ms(9000);
     h.b.merge(h.t + ms(1010), h.key, end);
-    assert_eq!(h.b.recent_changes(later, TOLD_FOR).count(), 0);
-    // Who still has the limit is told of its end.
+    assert_eq!(h.b.recent_changes(later, SEND_FOR).count(), 0);
+    // The VM that still has the limit gets the observation of its end.
     assert_eq!(h.b.merge(later, h.key, limit), RateChange::Unchanged);
     assert_eq!(h.rate(), None);
-    assert_eq!(h.b.recent_changes(later, TOLD_FOR).count(), 1);
-    assert_eq!(h.b.recent_changes(later + TOLD_FOR, TOLD_FOR).count(), 0);
+    assert_eq!(h.b.recent_changes(later, SEND_FOR).count(), 1);
+    assert_eq!(h.b.recent_changes(later + SEND_FOR, SEND_FOR).count(), 0);
 }
 
 #[test]
-fn cold_until_the_latest_end_that_was_told() {
-    let mut h = Hearing::new();
+fn cold_until_the_latest_known_end() {
+    let mut h = Fixture::new();
     h.mark_cold(3000, 19.0);
     assert_eq!(h.rate(), Some(19.0));
     // An entry that was written earlier and read late.
@@ -186,14 +186,14 @@
 }
 
 #[test]
-fn cold_beside_a_limit_the_lower_one_counts() {
-    for (named_rate, expected) in [(2.0, 2.0), (50.0, 19.0)] {
-        let mut h = Hearing::new();
-        h.observe(0, 10, named(named_rate));
+fn cold_with_a_limit_uses_the_lower_one() {
+    for (stated_rate, expected) in [(2.0, 2.0), (50.0, 19.0)] {
+        let mut h = Fixture::new();
+        h.observe(0, 10, stated(stated_rate));
         h.mark_cold(3000, 19.0);
         let limit = h.b.limit(h.key).expect("it is limited");
         assert_eq!((limit.rate, limit.is_cold), (expected, true));
-        // An answer that names no limit says nothing of how cold the endpoint is.
+        // An answer without a limit doesn't end the cold period.
         h.observe(100, 110, Signals::default());
         assert_eq!(h.rate(), Some(19.0));
         assert!(!h.is_cold_after(3000));
