--- a/crates/limehollow/tests/workspace.rs
+++ b/crates/limehollow/tests/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces and their keys.
+//! Tests of workspaces: lookup by key, rejected configurations, costs, and that keys aren't displayed.
 
 use limehollow::workspace::{Cost, KeyDigest, Workspace, Workspaces, WorkspacesError};
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn new_with_a_name_twice_or_none() {
+fn new_with_a_duplicate_or_empty_name() {
     let twice = Workspaces::new(vec![workspace("a", &[]), workspace("a", &[])]);
     assert!(matches!(twice, Err(WorkspacesError::NameTwice { .. })));
     let nameless = Workspaces::new(vec![workspace("", &[])]);
@@ -40,13 +40,14 @@
 }
 
 #[test]
-fn new_with_a_key_twice_in_one_workspace() {
-    let w = Workspaces::new(vec![workspace("a", &["k1", "k1"])]).expect("it is one's own");
+fn new_with_a_duplicate_key_in_one_workspace() {
+    let w = Workspaces::new(vec![workspace("a", &["k1", "k1"])])
+        .expect("a workspace may repeat its own key");
     assert!(w.find(&KeyDigest::of("k1")).is_some());
 }
 
 #[test]
-fn digest_shows_little_of_itself_and_nothing_of_the_key() {
+fn digest_displays_a_prefix_and_not_the_key() {
     let w = workspace("a", &["a secret"]);
     let shown = format!("{w:?} {}", w.keys[0]);
     assert!(!shown.contains("secret"), "{shown}");
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn serialised_and_read_again() {
+fn serialise_and_parse_round_trip() {
     let w = Workspaces::new(vec![workspace("a", &["k1"])]).expect("valid");
     let text = serde_json::to_string(&w).expect("it is written");
     let read: Workspaces = serde_json::from_str(&text).expect("it is read");
