--- a/crates/limehollow/tests/isolation.rs
+++ b/crates/limehollow/tests/isolation.rs
@@ -1,8 +1,8 @@
-//! Whom a request harms that crashes endpoints, until it is known: a played load on the decisions of one gateway.
+//! Simulates one gateway to measure how many other requests a crashing request interrupts until it is quarantined.
 //!
-//! Endpoints that hold one model run streams of 1.5 s at a load of a half; among them one request comes once a second that
-//! crashes its endpoint 60 ms after it has begun. A crashed endpoint is back after 3 s. Callers of streams that broke off
-//! send them again at once. Half of the endpoints are in the gateway's own zone, and get more of its streams.
+//! Endpoints that hold one model run streams of 1.5 s at half of their capacity. Once a second a request arrives that
+//! crashes its endpoint 60 ms after it has begun. A crashed endpoint is back after 3 s, and callers resend interrupted
+//! streams at once. Half of the endpoints are in the gateway's own zone, and get more of its streams.
 
 mod site;
 
@@ -24,13 +24,13 @@
 const ENDPOINTS: usize = 8;
 const LENGTH: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(5);
-/// Places of an endpoint are 8, so 20 streams a second of 1.5 s take half of all.
+/// Each endpoint has 8 slots, so 20 streams a second of 1.5 s use half of all slots.
 const STREAMS_PER_STEP: f64 = 20.0 * 0.005;
 const STREAM: Duration = Duration::from_millis(1500);
-const READING: Duration = Duration::from_millis(40);
+const PREFILL: Duration = Duration::from_millis(40);
 const CRASHES_AFTER: Duration = Duration::from_millis(60);
-const COMES_EVERY: u32 = 200;
-const BACK_AFTER: Duration = Duration::from_secs(3);
+const CAUSE_EVERY_STEPS: u32 = 200;
+const RESTART_AFTER: Duration = Duration::from_secs(3);
 
 struct Run {
     request: Fingerprint,
@@ -40,24 +40,24 @@
     sent: Sent,
 }
 
-/// What a played load came to.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 struct Harm {
     crashes: usize,
-    /// Streams that ended with an endpoint, other than the cause.
-    taken_along: usize,
-    /// Streams that were refused as causes, and aren't.
-    refused: usize,
+    /// The number of streams other than the cause that a crash interrupted.
+    interrupted: usize,
+    /// The number of streams that were rejected as the cause though they aren't.
+    rejected: usize,
 }
 
-struct Play {
+struct Simulation {
     now: Instant,
     rng: StdRng,
     roster: Roster,
     balance: Balance,
     quarantine: Quarantine,
     running: Vec<Run>,
-    /// Endpoints that come back, with their numbers.
+    /// When crashed endpoints come back.
     down: Vec<(Instant, usize)>,
     starts: usize,
     asked: usize,
@@ -75,7 +75,7 @@
     })
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, isolates: bool) -> Self {
         let mut p = Self {
             now: Instant::now(),
@@ -113,7 +113,7 @@
             Standing::Clear => {}
             Standing::Suspect => job.isolated = self.isolates,
             Standing::Quarantined(_) => {
-                self.harm.refused += usize::from(!is_cause);
+                self.harm.rejected += usize::from(!is_cause);
                 return;
             }
         }
@@ -147,12 +147,12 @@
             .partition(|r| r.key == key);
         self.running = stay;
         self.roster.remove(&e.instance.id);
-        self.down.push((self.now + BACK_AFTER, 0));
+        self.down.push((self.now + RESTART_AFTER, 0));
         let mut again = Vec::new();
         let gone: Vec<Run> = gone;
         for r in gone {
             let ran = self.now.duration_since(r.began);
-            let timing = Timing::of(ran.checked_sub(READING));
+            let timing = Timing::of(ran.checked_sub(PREFILL));
             let origin = IpAddr::V4(Ipv4Addr::LOCALHOST).into();
             let start = StartTag::from(&e.instance);
             self.quarantine
@@ -160,7 +160,7 @@
             let ending = AttemptOutcome::Failed(Failure::Broken);
             self.balance.finish(self.now, r.sent, ending);
             if !r.is_cause {
-                self.harm.taken_along += 1;
+                self.harm.interrupted += 1;
                 again.push(r.request);
             }
         }
@@ -186,7 +186,7 @@
             self.crash(key);
         }
         for r in &mut self.running {
-            if now.duration_since(r.began) >= READING {
+            if now.duration_since(r.began) >= PREFILL {
                 self.balance.record_first_result(now, &mut r.sent);
             }
         }
@@ -196,7 +196,7 @@
             .partition(done);
         self.running = stay;
         for r in whole {
-            let first = READING;
+            let first = PREFILL;
             self.balance
                 .finish(now, r.sent, AttemptOutcome::Completed { first });
             self.quarantine.record_answer(now, r.request);
@@ -208,39 +208,39 @@
     }
 }
 
-fn play(seed: u64, isolates: bool) -> Harm {
-    let mut p = Play::new(seed, isolates);
+fn simulate(seed: u64, isolates: bool) -> Harm {
+    let mut p = Simulation::new(seed, isolates);
     let steps = u32::try_from(LENGTH.as_millis() / STEP.as_millis()).expect("they are few");
     for n in 0..steps {
         p.step();
-        if n % COMES_EVERY == COMES_EVERY / 2 {
+        if n % CAUSE_EVERY_STEPS == CAUSE_EVERY_STEPS / 2 {
             p.ask(fingerprint(0), true);
         }
     }
     p.harm
 }
 
-/// Sums what so many played loads came to.
+/// Returns the sum over 200 simulations.
 fn sum(isolates: bool) -> Harm {
     (0..200)
-        .map(|seed| play(seed, isolates))
+        .map(|seed| simulate(seed, isolates))
         .fold(Harm::default(), |a, b| Harm {
             crashes: a.crashes + b.crashes,
-            taken_along: a.taken_along + b.taken_along,
-            refused: a.refused + b.refused,
+            interrupted: a.interrupted + b.interrupted,
+            rejected: a.rejected + b.rejected,
         })
 }
 
 #[test]
-fn suspect_takes_fewer_along_where_few_run() {
-    let (apart, together) = (sum(true), sum(false));
-    println!("of 200 loads: isolated {apart:?}, not isolated {together:?}");
-    // Three crashes in each: the first is the first word of it.
-    assert_eq!((apart.crashes, together.crashes), (600, 600));
+fn isolated_suspect_interrupts_fewer_streams() {
+    let (isolated, not_isolated) = (sum(true), sum(false));
+    println!("of 200 loads: isolated {isolated:?}, not isolated {not_isolated:?}");
+    // Three crashes in each simulation: nothing is known of the request before the first.
+    assert_eq!((isolated.crashes, not_isolated.crashes), (600, 600));
     assert!(
-        apart.taken_along < together.taken_along,
-        "{apart:?} {together:?}"
+        isolated.interrupted < not_isolated.interrupted,
+        "{isolated:?} {not_isolated:?}"
     );
-    // None of those beside it is taken for the cause.
-    assert_eq!(apart.refused, 0);
+    // No stream beside the cause is taken for it.
+    assert_eq!(isolated.rejected, 0);
 }
