--- a/crates/limehollow/tests/quota.rs
+++ b/crates/limehollow/tests/quota.rs
@@ -1,4 +1,5 @@
-//! Limits of workspaces over many VMs: the sum holds whatever happens to VMs and messages, and callers get what they may.
+//! Tests of distributed limits: the sum over all VMs holds despite failures of VMs and messages, and callers are served
+//! up to the limit.
 
 use limehollow::quota::{
     Allowance, COLLECT_EVERY, Grant, Limit, MAX_TRANSFER_TIME, Quotas, Subject,
@@ -12,7 +13,7 @@
 
 const WORKSPACE: &str = "bookkeeping";
 const STEP: Duration = Duration::from_millis(10);
-/// What a request with a prompt of usual length counts.
+/// The cost of a request with a prompt of usual length.
 const REQUEST: f64 = 1632.0;
 
 fn allowance() -> Allowance {
@@ -27,18 +28,18 @@
     Limit { rate, burst: rate }
 }
 
-/// Whose limit VMs share.
+/// The limit that the VMs share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Whose {
-    /// A workspace's, in tokens.
+enum SharedLimit {
+    /// The limit of a workspace, in tokens.
     Workspace(Limit),
-    /// That of an endpoint which takes so many requests a second.
+    /// The limit of an endpoint, in requests a second.
     Endpoint(f64),
-    /// That of an endpoint which is cold and bears so many.
+    /// The limit of a cold endpoint, in requests a second.
     Cold(f64),
 }
 
-impl Whose {
+impl SharedLimit {
     fn subject(self) -> Subject {
         match self {
             Self::Workspace(_) => WORKSPACE.into(),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// What a request counts.
+    /// Returns the cost of a request.
     fn request(self) -> f64 {
         match self {
             Self::Workspace(_) => REQUEST,
@@ -54,18 +55,18 @@
         }
     }
 
-    /// The span over which use is summed, and the most within it.
+    /// Returns the window over which use is summed, and the maximum use within it.
     fn bound(self) -> (Duration, f64) {
         match self {
             Self::Workspace(limit) => (allowance().window, allowance().bound(limit)),
-            // An endpoint bears one and a half times what it takes, and five requests, in four seconds.
+            // An endpoint tolerates one and a half times its limit, and five requests, in four seconds.
             Self::Endpoint(rate) => (Duration::from_secs(4), rate * 4.0 * 1.5 + 5.0),
-            // A cold one falls over at that within a second.
+            // A cold endpoint tolerates that within one second.
             Self::Cold(rate) => (Duration::from_secs(1), rate * 1.5 + 5.0),
         }
     }
 
-    fn put_in_force(self, now: Instant, q: &mut Quotas) {
+    fn set_limit(self, now: Instant, q: &mut Quotas) {
         match self {
             Self::Workspace(limit) => q.set_limits(now, [(WORKSPACE.into(), limit)]),
             Self::Endpoint(rate) => q.limit_endpoint(now, &"i-0".into(), rate),
@@ -74,76 +75,76 @@
     }
 }
 
-/// How VMs share a limit.
+/// The way in which VMs share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shares {
-    /// Each VM uses what it earns itself.
+    /// Each VM uses only its own earnings.
     Apart,
-    /// One VM collects, and grants.
+    /// The coordinator collects tokens and grants them.
     Pooled,
 }
 
-/// Tokens on their way: when they arrive, and for which VM's pool; spent by a request where there is none.
+/// Tokens in transit: when they arrive, and for which VM's pool; `None` stands for tokens that a request uses.
 #[derive(Clone, Copy, Debug)]
-struct OnTheWay {
+struct InTransit {
     due: Instant,
     to: Option<usize>,
     tokens: f64,
 }
 
-/// VMs that share one limit, step by step.
+/// A simulation of VMs that share one limit.
 struct Site {
     now: Instant,
     vms: Vec<Quotas>,
-    /// Until when a VM stands still.
-    still: Vec<Instant>,
-    /// The VM that each takes for the keeper.
-    keepers: Vec<usize>,
-    on_the_way: Vec<OnTheWay>,
+    /// The time until which each VM is suspended.
+    suspended_until: Vec<Instant>,
+    /// The VM that each considers the coordinator.
+    coordinators: Vec<usize>,
+    in_transit: Vec<InTransit>,
     used: VecDeque<(Instant, f64)>,
-    whose: Whose,
+    shared: SharedLimit,
     lost: f64,
     rng: StdRng,
 }
 
 impl Site {
     fn new(seed: u64, vms: usize, limit: Limit) -> Self {
-        Self::sharing(seed, vms, Whose::Workspace(limit))
+        Self::sharing(seed, vms, SharedLimit::Workspace(limit))
     }
 
-    fn sharing(seed: u64, vms: usize, whose: Whose) -> Self {
+    fn sharing(seed: u64, vms: usize, shared: SharedLimit) -> Self {
         let now = Instant::now();
         let mut site = Self {
             now,
             vms: Vec::new(),
-            still: vec![now; vms],
-            keepers: vec![0; vms],
-            on_the_way: Vec::new(),
+            suspended_until: vec![now; vms],
+            coordinators: vec![0; vms],
+            in_transit: Vec::new(),
             used: VecDeque::new(),
-            whose,
+            shared,
             lost: 0.0,
             rng: StdRng::seed_from_u64(seed),
         };
         for _ in 0..vms {
-            let q = site.fresh(vms);
+            let q = site.new_accounts(vms);
             site.vms.push(q);
         }
         site
     }
 
-    /// Makes the accounts of a VM that has just started.
-    fn fresh(&self, vms: usize) -> Quotas {
+    /// Creates the accounts of a VM that has just started.
+    fn new_accounts(&self, vms: usize) -> Quotas {
         let mut q = Quotas::new(allowance());
-        self.whose.put_in_force(self.now, &mut q);
+        self.shared.set_limit(self.now, &mut q);
         q.set_vms(self.now, vms);
         q
     }
 
     fn runs(&self, vm: usize) -> bool {
-        self.now >= self.still[vm]
+        self.now >= self.suspended_until[vm]
     }
 
-    /// Begins a round of collections on all VMs; each hands over to whom it takes for the keeper.
+    /// Begins a round of collections on all VMs; each transfers to the VM that it considers the coordinator.
     fn collect(&mut self) {
         for vm in 0..self.vms.len() {
             if self.runs(vm) {
@@ -151,67 +152,68 @@
             }
         }
         for vm in 0..self.vms.len() {
-            let keeper = self.keepers[vm];
-            if !self.runs(vm) || !self.runs(keeper) {
+            let coordinator = self.coordinators[vm];
+            if !self.runs(vm) || !self.runs(coordinator) {
                 continue;
             }
-            let name = format_smolstr!("vm-{keeper}");
-            let Some(tokens) = self.vms[vm].transfer(self.now, self.whose.subject(), &name) else {
+            let name = format_smolstr!("vm-{coordinator}");
+            let Some(tokens) = self.vms[vm].transfer(self.now, self.shared.subject(), &name) else {
                 continue;
             };
-            if vm == keeper {
-                self.vms[vm].credit(self.now, self.whose.subject(), tokens);
+            if vm == coordinator {
+                self.vms[vm].credit(self.now, self.shared.subject(), tokens);
             } else if !self.rng.random_bool(self.lost) {
-                self.send(Some(keeper), tokens);
+                self.send(Some(coordinator), tokens);
             }
         }
     }
 
     fn send(&mut self, to: Option<usize>, tokens: f64) {
-        let way = self.rng.random_range(Duration::ZERO..MAX_TRANSFER_TIME);
-        let due = self.now + way;
-        self.on_the_way.push(OnTheWay { due, to, tokens });
+        let delay = self.rng.random_range(Duration::ZERO..MAX_TRANSFER_TIME);
+        let due = self.now + delay;
+        self.in_transit.push(InTransit { due, to, tokens });
     }
 
-    /// Asks for a request's tokens on a VM. Gives whether it got them.
-    fn ask(&mut self, vm: usize, shares: Shares) -> bool {
+    /// Acquires a request's tokens on a VM. Returns `true` if it got them.
+    fn acquire(&mut self, vm: usize, shares: Shares) -> bool {
         if !self.runs(vm) {
             return false;
         }
-        if self.vms[vm].acquire(self.now, self.whose.subject(), self.whose.request()) {
-            self.send(None, self.whose.request());
+        if self.vms[vm].acquire(self.now, self.shared.subject(), self.shared.request()) {
+            self.send(None, self.shared.request());
             return true;
         }
-        let keeper = self.keepers[vm];
-        if shares == Shares::Apart || !self.runs(keeper) {
+        let coordinator = self.coordinators[vm];
+        if shares == Shares::Apart || !self.runs(coordinator) {
             return false;
         }
-        let granted = self.vms[keeper].grant(self.now, self.whose.subject(), self.whose.request())
-            == Grant::Granted;
+        let granted =
+            self.vms[coordinator].grant(self.now, self.shared.subject(), self.shared.request())
+                == Grant::Granted;
         if granted {
-            self.send(None, self.whose.request());
+            self.send(None, self.shared.request());
         }
         granted
     }
 
-    /// Goes on by a step, and checks what was used within the window.
+    /// Advances by one step, and checks the use within the window.
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let (due, later) = self.on_the_way.iter().partition(|w| w.due <= now);
-        self.on_the_way = later;
-        let due: Vec<OnTheWay> = due;
+        let (due, later) = self.in_transit.iter().partition(|w| w.due <= now);
+        self.in_transit = later;
+        let due: Vec<InTransit> = due;
         for w in due {
             match w.to {
                 None => self.used.push_back((now, w.tokens)),
                 Some(vm) if self.runs(vm) => {
-                    self.vms[vm].credit(now, self.whose.subject(), w.tokens);
+                    self.vms[vm].credit(now, self.shared.subject(), w.tokens);
                 }
-                // Who stood still throws away what comes too late.
+                // A suspended VM discards tokens that arrive too late.
                 Some(_) => {}
             }
         }
-        let (window, bound) = self.whose.bound();
+        let (window, bound) = self.shared.bound();
         while self.used.front().is_some_and(|(t, _)| now - *t > window) {
             self.used.pop_front();
         }
@@ -222,27 +224,31 @@
         );
     }
 
-    /// Something befalls a VM, or the opinion on who keeps the pool.
-    fn trouble(&mut self) {
+    /// Restarts or suspends a VM, or changes the coordinator, for all VMs or differently for each.
+    fn inject_failure(&mut self) {
         let n = self.vms.len();
         let vm = self.rng.random_range(0..n);
         match self.rng.random_range(0..4) {
-            0 => self.vms[vm] = self.fresh(n),
-            1 => self.still[vm] = self.now + Duration::from_millis(self.rng.random_range(0..5000)),
+            0 => self.vms[vm] = self.new_accounts(n),
+            1 => {
+                self.suspended_until[vm] =
+                    self.now + Duration::from_millis(self.rng.random_range(0..5000))
+            }
             2 => {
-                let keeper = self.rng.random_range(0..n);
-                self.keepers.fill(keeper);
+                let coordinator = self.rng.random_range(0..n);
+                self.coordinators.fill(coordinator);
             }
             _ => {
-                for keeper in &mut self.keepers {
-                    *keeper = self.rng.random_range(0..n.min(3));
+                for coordinator in &mut self.coordinators {
+                    *coordinator = self.rng.random_range(0..n.min(3));
                 }
             }
         }
     }
 }
 
-/// Callers ask for all they can get after a while of silence, again and again, while VMs die, stand still and disagree.
+/// Simulates callers that repeatedly use all available tokens after idle periods, while VMs restart, are suspended and
+/// disagree on the coordinator.
 fn greedy_callers(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 1);
     let vms = [1, 2, 8, 69][rng.random_range(0..4)];
@@ -251,47 +257,47 @@
     ask_greedily(site, rng);
 }
 
-/// The same of an endpoint, before few VMs and many.
+/// The same for the limit of an endpoint, with few and with many VMs.
 fn greedy_callers_of_an_endpoint(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 2);
     let vms = [1, 8, 69, 300][rng.random_range(0..4)];
     let rate = [0.1, 1.1, 3.3, 30.0][rng.random_range(0..4)];
-    let site = Site::sharing(seed, vms, Whose::Endpoint(rate));
+    let site = Site::sharing(seed, vms, SharedLimit::Endpoint(rate));
     ask_greedily(site, rng);
 }
 
-/// The same of an endpoint that is cold.
+/// The same for the limit of a cold endpoint.
 fn greedy_callers_of_a_cold_endpoint(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 3);
     let vms = [1, 8, 73, 300][rng.random_range(0..4)];
     let rate = [1.0, 6.0, 19.0, 80.0][rng.random_range(0..4)];
-    let site = Site::sharing(seed, vms, Whose::Cold(rate));
+    let site = Site::sharing(seed, vms, SharedLimit::Cold(rate));
     ask_greedily(site, rng);
 }
 
 fn ask_greedily(mut site: Site, mut rng: StdRng) {
     let vms = site.vms.len();
     site.lost = [0.0, 0.03, 0.5][rng.random_range(0..3)];
-    let trouble = rng.random_range(0.0..0.05);
+    let inject_failure = rng.random_range(0.0..0.05);
     let steps = |d: Duration| d.as_millis() / STEP.as_millis();
     for i in 0..2500 {
         if i % steps(COLLECT_EVERY) == 0 {
             site.collect();
         }
-        if rng.random_bool(trouble) {
-            site.trouble();
+        if rng.random_bool(inject_failure) {
+            site.inject_failure();
         }
         let silent = i / 300 % 3 == 0;
         for _ in 0..if silent { 0 } else { vms * 2 } {
             let vm = rng.random_range(0..vms);
-            while site.ask(vm, Shares::Pooled) {}
+            while site.acquire(vm, Shares::Pooled) {}
         }
         site.step();
     }
 }
 
 #[test]
-fn sum_within_the_bound_whatever_befalls_vms() {
+fn sum_stays_within_the_bound_despite_failures() {
     bolero::check!()
         .with_type::<u64>()
         .with_iterations(60)
@@ -299,7 +305,7 @@
 }
 
 #[test]
-fn sum_of_an_endpoint_within_the_bound_whatever_befalls_vms() {
+fn sum_of_an_endpoint_stays_within_the_bound_despite_failures() {
     bolero::check!()
         .with_type::<u64>()
         .with_iterations(60)
@@ -307,7 +313,7 @@
 }
 
 #[test]
-fn sum_of_a_cold_endpoint_within_a_second_whatever_befalls_vms() {
+fn sum_of_a_cold_endpoint_stays_within_a_second_despite_failures() {
     bolero::check!()
         .with_type::<u64>()
         .with_iterations(60)
@@ -315,7 +321,7 @@
 }
 
 #[test]
-fn terms_leave_room_for_what_is_on_its_way() {
+fn terms_leave_room_for_tokens_in_transit() {
     bolero::check!()
         .with_type::<(u32, u32, u8, u32, u8)>()
         .for_each(|(rate, burst, over, slack, window)| {
@@ -338,7 +344,8 @@
         });
 }
 
-/// Gives the part of what a limit allows that callers get who ask for `asked` times the limit, of all VMs or of one.
+/// Returns the fraction of the permitted use that callers get who ask for `asked` times the limit, on all VMs or on
+/// one.
 fn served(shares: Shares, rate: f64, asked: f64, on_one_vm: bool, vms: usize) -> f64 {
     let mut site = Site::new(1, vms, limit(rate));
     let (mut wanted, mut got, mut owed) = (0.0, 0.0, 0.0);
@@ -346,7 +353,7 @@
         if shares == Shares::Pooled && i % 25 == 0 {
             site.collect();
         }
-        // Callers come once accounts have filled.
+        // Callers begin once accounts have filled.
         if i > 500 {
             wanted += rate * asked * STEP.as_secs_f64();
             owed += rate * asked.min(1.0) * STEP.as_secs_f64();
@@ -358,7 +365,7 @@
             } else {
                 site.rng.random_range(0..vms)
             };
-            if site.ask(vm, shares) {
+            if site.acquire(vm, shares) {
                 got += REQUEST;
             }
         }
@@ -368,14 +375,14 @@
 }
 
 #[test]
-fn pooled_serves_workspaces_whose_part_is_less_than_a_request() {
-    // Two requests a second over 69 VMs: apart, no VM ever has enough for one.
+fn pooled_serves_workspaces_whose_share_is_less_than_a_request() {
+    // Two requests a second over 69 VMs: without a pool, no VM ever has enough for one request.
     assert!(served(Shares::Apart, 3_400.0, 0.55, false, 69) < 0.01);
     assert!(served(Shares::Pooled, 3_400.0, 0.55, false, 69) > 0.95);
 }
 
 #[test]
-fn pooled_serves_callers_that_all_come_to_one_vm() {
+fn pooled_serves_callers_that_all_use_one_vm() {
     assert!(served(Shares::Apart, 210_000.0, 0.55, true, 69) < 0.1);
     assert!(served(Shares::Pooled, 210_000.0, 0.55, true, 69) > 0.95);
 }
@@ -392,30 +399,30 @@
 }
 
 #[test]
-fn restart_begins_with_nothing() {
+fn restart_begins_with_empty_accounts() {
     let mut site = Site::new(1, 1, limit(40_000.0));
     site.now += Duration::from_secs(5);
-    assert!(site.ask(0, Shares::Apart));
-    site.vms[0] = site.fresh(1);
-    assert!(!site.ask(0, Shares::Apart));
+    assert!(site.acquire(0, Shares::Apart));
+    site.vms[0] = site.new_accounts(1);
+    assert!(!site.acquire(0, Shares::Apart));
 }
 
 #[test]
-fn lowered_limit_takes_away_what_is_too_much() {
+fn lowered_limit_removes_excess_tokens() {
     let mut site = Site::new(1, 1, limit(210_000.0));
     site.now += Duration::from_secs(5);
     let now = site.now;
     let lower = limit(1_000.0);
     site.vms[0].set_limits(now, [(WORKSPACE.into(), lower)]);
-    let held: f64 = site.vms[0]
+    let available: f64 = site.vms[0]
         .holdings()
         .map(|(_, own, pool)| own + pool)
         .sum();
-    assert!(held <= allowance().terms(lower).own, "{held}");
+    assert!(available <= allowance().terms(lower).own, "{available}");
 }
 
 #[test]
-fn grant_tells_refused_callers_different_times() {
+fn grant_gives_rejected_callers_different_waits() {
     let mut site = Site::new(1, 1, limit(10_000.0));
     let now = site.now;
     let mut waits = Vec::new();
@@ -424,14 +431,14 @@
             waits.push(wait);
         }
     }
-    // Six requests a second fit: the twentieth has room after three.
+    // Six requests a second fit: the twentieth fits after three seconds.
     assert!(waits.is_sorted(), "{waits:?}");
-    let last = waits.last().expect("some are refused");
+    let last = waits.last().expect("some are rejected");
     assert!(*last > Duration::from_millis(2900), "{last:?}");
 }
 
 #[test]
-fn hand_over_serves_one_keeper_at_a_time() {
+fn transfer_serves_one_coordinator_at_a_time() {
     let mut site = Site::new(1, 2, limit(10_000.0));
     let (one, other) = (SmolStr::new("vm-0"), SmolStr::new("vm-1"));
     let q = &mut site.vms[1];
@@ -451,8 +458,8 @@
 }
 
 impl Site {
-    /// Goes on for some time without callers.
-    fn rest(&mut self, time: Duration) {
+    /// Advances by `time` without callers.
+    fn idle(&mut self, time: Duration) {
         for i in 0..time.as_millis() / STEP.as_millis() {
             if i % 25 == 0 {
                 self.collect();
@@ -461,8 +468,8 @@
         }
     }
 
-    /// Gives what all VMs together could use at this moment.
-    fn held(&mut self) -> f64 {
+    /// Returns the tokens that all VMs together could use at this time.
+    fn available(&mut self) -> f64 {
         let mut sum = 0.0;
         for q in &mut self.vms {
             while q.acquire(self.now, WORKSPACE, REQUEST) {
@@ -473,30 +480,30 @@
     }
 }
 
-/// The most that all accounts together hold by the terms of a limit.
+/// Returns the maximum that all accounts together hold by the terms of a limit.
 fn stored(rate: f64) -> f64 {
     let t = allowance().terms(limit(rate));
     t.own + t.pool
 }
 
 #[test]
-fn pools_of_former_keepers_are_void() {
+fn pools_of_former_coordinators_are_void() {
     let mut site = Site::new(1, 8, limit(210_000.0));
-    for keeper in 0..5 {
-        site.keepers.fill(keeper);
-        site.rest(Duration::from_millis(2500));
-        // It stands still with what it has collected, and another takes over.
-        site.still[keeper] = site.now + Duration::from_secs(60);
+    for coordinator in 0..5 {
+        site.coordinators.fill(coordinator);
+        site.idle(Duration::from_millis(2500));
+        // The coordinator is suspended with the tokens that it collected, and another VM takes over.
+        site.suspended_until[coordinator] = site.now + Duration::from_secs(60);
     }
-    let held = site.held();
-    assert!(held <= stored(210_000.0), "{held}");
+    let available = site.available();
+    assert!(available <= stored(210_000.0), "{available}");
 }
 
 #[test]
-fn pools_of_two_halves_hold_no_more_than_one() {
+fn pools_of_two_coordinators_hold_no_more_than_one() {
     let mut site = Site::new(1, 8, limit(210_000.0));
-    site.keepers = vec![0, 0, 0, 0, 1, 1, 1, 1];
-    site.rest(Duration::from_secs(10));
-    let held = site.held();
-    assert!(held <= stored(210_000.0), "{held}");
+    site.coordinators = vec![0, 0, 0, 0, 1, 1, 1, 1];
+    site.idle(Duration::from_secs(10));
+    let available = site.available();
+    assert!(available <= stored(210_000.0), "{available}");
 }
