--- a/crates/limehollow/src/quarantine.rs
+++ b/crates/limehollow/src/quarantine.rs
@@ -86,14 +86,14 @@
     }
 
     /// Returns `true` if the crashes show the request to be the cause.
-    fn is_convicted(&self) -> bool {
+    fn is_cause(&self) -> bool {
         let early = self.crashes.values().filter(|t| **t == Timing::Early);
         early.count() >= EARLY_CRASHES || self.crashes.len() >= ALL_CRASHES
     }
 
     /// Returns the time for which the request is rejected after its last crash.
     fn term(&self) -> Duration {
-        if !self.is_convicted() {
+        if !self.is_cause() {
             return Duration::ZERO;
         }
         let more = self.crashes.len().saturating_sub(EARLY_CRASHES);
@@ -102,13 +102,13 @@
     }
 
     /// Returns the remaining time of the quarantine.
-    fn left(&self, now: Instant) -> Duration {
+    fn remaining(&self, now: Instant) -> Duration {
         (self.last + self.term()).saturating_duration_since(now)
     }
 
     /// Returns the time for which the record is kept after its last change.
-    fn life(&self) -> Duration {
-        if self.is_convicted() {
+    fn lifetime(&self) -> Duration {
+        if self.is_cause() {
             self.term() + REMEMBERED_FOR
         } else {
             SUSPECT_LIFE
@@ -116,8 +116,8 @@
     }
 
     /// Returns `true` if the record has expired.
-    fn is_over(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last) >= self.life()
+    fn is_expired(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last) >= self.lifetime()
     }
 
     fn digest(&self, request: Fingerprint) -> u64 {
@@ -189,11 +189,11 @@
         let Some(row) = self.rows.get(&request).filter(|r| !r.crashes.is_empty()) else {
             return Standing::Clear;
         };
-        let left = row.left(now);
-        if left.is_zero() {
+        let remaining = row.remaining(now);
+        if remaining.is_zero() {
             Standing::Suspect
         } else {
-            Standing::Quarantined(left)
+            Standing::Quarantined(remaining)
         }
     }
 
@@ -202,9 +202,9 @@
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (Fingerprint, Duration, usize)> {
-        let rows = self.rows.iter().map(move |(f, r)| (f, r, r.left(now)));
-        rows.filter(|(_, _, left)| !left.is_zero())
-            .map(|(f, r, left)| (*f, left, r.crashes.len()))
+        let rows = self.rows.iter().map(move |(f, r)| (f, r, r.remaining(now)));
+        rows.filter(|(_, _, remaining)| !remaining.is_zero())
+            .map(|(f, r, remaining)| (*f, remaining, r.crashes.len()))
     }
 
     /// Returns the number of requests during which endpoints crashed.
@@ -302,7 +302,7 @@
         let Some(row) = self.rows.get(&request).filter(|r| !r.crashes.is_empty()) else {
             return false;
         };
-        let was_convicted = row.is_convicted();
+        let was_cause = row.is_cause();
         let record = CrashRecord {
             request,
             origin: row.origin,
@@ -312,7 +312,7 @@
         };
         self.apply(now, &record);
         self.queue_own(request, EARLY_CRASH_SENDS);
-        if was_convicted {
+        if was_cause {
             self.unsaved.insert(request);
         }
         true
@@ -337,7 +337,7 @@
         if other.generation < row.generation {
             return Outcome::default();
         }
-        let was_quarantined = !row.left(now).is_zero();
+        let was_quarantined = !row.remaining(now).is_zero();
         if other.generation > row.generation {
             row = Row {
                 generation: other.generation,
@@ -354,11 +354,11 @@
         while row.crashes.len() > MAX_CRASHES {
             row.crashes.pop_last();
         }
-        if row.is_over(now) {
+        if row.is_expired(now) {
             return Outcome::default();
         }
         let has_crashes = !row.crashes.is_empty();
-        let is_new = self.put(now, other.request, row.clone());
+        let is_new = self.store(now, other.request, row.clone());
         if has_crashes && self.answers.contains(now, other.request) {
             self.clear(now, other.request);
             return Outcome {
@@ -368,14 +368,14 @@
         }
         Outcome {
             is_new,
-            is_quarantined: is_new && !was_quarantined && !row.left(now).is_zero(),
+            is_quarantined: is_new && !was_quarantined && !row.remaining(now).is_zero(),
         }
     }
 
     /// Stores a row. Returns `true` if it changed the digest.
-    fn put(&mut self, now: Instant, request: Fingerprint, row: Row) -> bool {
+    fn store(&mut self, now: Instant, request: Fingerprint, row: Row) -> bool {
         if self.rows.len() >= MAX_RECORDS && !self.rows.contains_key(&request) {
-            self.make_room(now);
+            self.evict_one(now);
         }
         let digest = row.digest(request);
         let former = self.rows.insert(request, row);
@@ -389,18 +389,18 @@
 
     /// Removes the oldest record of the origin that has the most records, quarantined ones last. A caller who sends
     /// ever new crashing requests thus evicts only records of their own.
-    fn make_room(&mut self, now: Instant) {
+    fn evict_one(&mut self, now: Instant) {
         let mut counts: BTreeMap<OriginTag, usize> = BTreeMap::new();
         for r in self.rows.values() {
             *counts.entry(r.origin).or_default() += 1;
         }
         let rank = |(_, r): &(&Fingerprint, &Row)| {
-            let free = r.left(now).is_zero();
+            let free = r.remaining(now).is_zero();
             let age = now.saturating_duration_since(r.last);
             (counts.get(&r.origin).copied(), free, age)
         };
-        let victim = self.rows.iter().max_by_key(rank).map(|(f, _)| *f);
-        if let Some(f) = victim {
+        let oldest = self.rows.iter().max_by_key(rank).map(|(f, _)| *f);
+        if let Some(f) = oldest {
             self.remove(now, f);
         }
     }
@@ -483,12 +483,12 @@
 
     /// Removes expired records and returns those requests that were once quarantined.
     pub fn sweep(&mut self, now: Instant) -> Vec<Fingerprint> {
-        let over = self.rows.iter().filter(|(_, r)| r.is_over(now));
-        let over: Vec<(Fingerprint, bool)> = over.map(|(f, r)| (*f, r.is_convicted())).collect();
-        for (f, _) in &over {
+        let expired = self.rows.iter().filter(|(_, r)| r.is_expired(now));
+        let expired: Vec<(Fingerprint, bool)> = expired.map(|(f, r)| (*f, r.is_cause())).collect();
+        for (f, _) in &expired {
             self.remove(now, *f);
         }
-        let convicted = over.into_iter().filter(|(_, is_convicted)| *is_convicted);
-        convicted.map(|(f, _)| f).collect()
+        let causes = expired.into_iter().filter(|(_, is_cause)| *is_cause);
+        causes.map(|(f, _)| f).collect()
     }
 }
