--- a/crates/limehollow/src/roster.rs
+++ b/crates/limehollow/src/roster.rs
@@ -150,7 +150,7 @@
 }
 
 /// The number of starts remembered as leaving: an endpoint is gone seconds to minutes after it announces this.
-const MOST_LEFT: usize = 1024;
+const MAX_LEAVING_STARTS: usize = 1024;
 
 /// All endpoints.
 #[derive(Debug, Default)]
@@ -164,7 +164,7 @@
     evacuated: BTreeSet<ZoneName>,
     /// The starts that announced that they leave, the latest first. They are kept independently of the entries, which
     /// may disappear and reappear with the platform's store.
-    left: VecDeque<Instance>,
+    leaving_starts: VecDeque<Instance>,
 }
 
 /// Queries.
@@ -329,7 +329,7 @@
 
     fn insert(&mut self, mut endpoint: Endpoint, lists_born: bool) -> Update {
         let id = endpoint.instance.id.clone();
-        endpoint.leaving |= self.has_left(&endpoint.instance);
+        endpoint.leaving |= self.has_announced_leaving(&endpoint.instance);
         self.unreadable.remove(&id);
         let key = self.rows.insert(Row::new(endpoint, lists_born));
         self.keys.insert(id, key);
@@ -353,7 +353,7 @@
     /// The list doesn't repeat unchanged entries. Without this, a report that never took effect, such as that of an
     /// unload whose order was lost, would stay in force forever.
     pub fn apply_held_back(&mut self, now: Instant) -> bool {
-        let mut news = false;
+        let mut has_changed = false;
         for row in self.rows.values_mut() {
             if row.is_report_preferred(now) {
                 continue;
@@ -366,10 +366,10 @@
             if listed.duration_since(reported) >= WRITTEN_AFTER && row.endpoint.holdings != holdings
             {
                 row.endpoint.holdings = holdings;
-                news = true;
+                has_changed = true;
             }
         }
-        news
+        has_changed
     }
 
     /// Evacuates a zone or ends its evacuation. Returns `true` if this changed anything.
@@ -393,9 +393,9 @@
     ///
     /// This is final: no entry that is read late, disappears or reappears brings the start into use again.
     pub fn note_leaving(&mut self, instance: &Instance) -> bool {
-        if !self.has_left(instance) {
-            self.left.push_front(instance.clone());
-            self.left.truncate(MOST_LEFT);
+        if !self.has_announced_leaving(instance) {
+            self.leaving_starts.push_front(instance.clone());
+            self.leaving_starts.truncate(MAX_LEAVING_STARTS);
         }
         let Some(key) = self.find(instance) else {
             return false;
@@ -405,8 +405,8 @@
         is_new
     }
 
-    fn has_left(&self, instance: &Instance) -> bool {
-        self.left.iter().any(|i| i.is_same(instance))
+    fn has_announced_leaving(&self, instance: &Instance) -> bool {
+        self.leaving_starts.iter().any(|i| i.is_same(instance))
     }
 
     /// Removes a model or adapter that an endpoint answered not to hold, until the next entry or report.
