--- a/crates/limehollow/src/peers.rs
+++ b/crates/limehollow/src/peers.rs
@@ -161,9 +161,9 @@
 
     /// Returns the number of VMs of the zone that can read the store and have more processor than this one.
     fn reader_rank(&self, now: Instant) -> usize {
-        let mine = (Reverse(self.millicores), &self.own_vm);
+        let own_rank = (Reverse(self.millicores), &self.own_vm);
         let readers = self.present_in_zone(now).filter(|(_, p)| p.reads_list);
-        let before = readers.filter(|(name, p)| (Reverse(p.millicores), *name) < mine);
+        let before = readers.filter(|(name, p)| (Reverse(p.millicores), *name) < own_rank);
         before.count()
     }
 
@@ -218,14 +218,14 @@
     /// Returns this VM's rank among the candidates for the lease; the first of each zone come before the second of any.
     #[must_use]
     pub fn candidate_rank(&self, now: Instant) -> Option<usize> {
-        let mine = (Reverse(self.millicores), &self.own_vm);
-        let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
-        let before = here.filter(|(name, p)| {
+        let own_rank = (Reverse(self.millicores), &self.own_vm);
+        let in_zone = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
+        let before = in_zone.filter(|(name, p)| {
             let is_alive = match p.last_seen {
                 Some(t) => now.duration_since(t) < PEER_TIMEOUT,
                 None => now.duration_since(p.added) < self.startup_grace(),
             };
-            is_alive && (Reverse(p.millicores), *name) < mine
+            is_alive && (Reverse(p.millicores), *name) < own_rank
         });
         let (reaching, cut): (Vec<_>, Vec<_>) = before.partition(|(_, p)| p.reaches_store);
         let stands = reaching.len() < CANDIDATES && reaching.len() + cut.len() < MOST_CANDIDATES;
@@ -238,8 +238,8 @@
     /// Returns `true` if `name` is this VM or another VM of its zone.
     #[must_use]
     pub fn is_in_own_zone(&self, name: &str) -> bool {
-        let here = |p: &Peer| p.zone == self.zone;
-        name == self.own_vm || self.rows.get(name).is_some_and(here)
+        let in_zone = |p: &Peer| p.zone == self.zone;
+        name == self.own_vm || self.rows.get(name).is_some_and(in_zone)
     }
 
     /// Returns all other known VMs with their zone, address and processor in thousandths of a core.
@@ -257,8 +257,8 @@
     /// Returns the addresses of the other VMs of the own zone, including silent ones.
     #[must_use]
     pub fn neighbours(&self) -> Vec<SocketAddr> {
-        let here = self.rows.values().filter(|p| p.zone == self.zone);
-        here.map(|p| p.address).collect()
+        let in_zone = self.rows.values().filter(|p| p.zone == self.zone);
+        in_zone.map(|p| p.address).collect()
     }
 
     /// Returns the addresses of the other VMs of the own zone that sent a message recently or may be starting.
@@ -270,10 +270,10 @@
 
     /// Returns the addresses of the VMs of the own zone that are presumed to receive messages, and of the silent ones.
     fn by_responsiveness(&self, now: Instant) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-        let here = self.rows.values().filter(|p| p.zone == self.zone);
+        let in_zone = self.rows.values().filter(|p| p.zone == self.zone);
         let is_responsive =
             |p: &&Peer| now.duration_since(p.last_seen.unwrap_or(p.added)) < UNRESPONSIVE_AFTER;
-        let (responsive, silent): (Vec<&Peer>, Vec<&Peer>) = here.partition(is_responsive);
+        let (responsive, silent): (Vec<&Peer>, Vec<&Peer>) = in_zone.partition(is_responsive);
         let addresses = |vms: Vec<&Peer>| vms.into_iter().map(|p| p.address).collect();
         (addresses(responsive), addresses(silent))
     }
@@ -323,8 +323,8 @@
     ///
     /// Without the latter, each of many VMs that start together would take itself for the zone's reader.
     fn present_in_zone(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
-        let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
-        here.filter(move |(_, p)| match p.last_seen {
+        let in_zone = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
+        in_zone.filter(move |(_, p)| match p.last_seen {
             Some(t) => now.duration_since(t) < PEER_TIMEOUT,
             None => now.duration_since(p.added) < self.startup_grace(),
         })
@@ -340,8 +340,8 @@
 
     /// Returns the VMs of the own zone whose messages arrive.
     fn heard_in_zone(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
-        let here = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
-        here.filter(move |(_, p)| {
+        let in_zone = self.rows.iter().filter(|(_, p)| p.zone == self.zone);
+        in_zone.filter(move |(_, p)| {
             p.last_seen
                 .is_some_and(|t| now.duration_since(t) < PEER_TIMEOUT)
         })
