--- a/crates/limehollow/src/confirmation.rs
+++ b/crates/limehollow/src/confirmation.rs
@@ -82,7 +82,7 @@
 
 /// The fraction of the bound for which a configuration is used. The rest allows for clocks that run at slightly
 /// different rates and for the time from the check of the key until the request reaches the endpoint.
-const USE: f64 = 0.9;
+const USE_WITHIN: f64 = 0.9;
 /// The fraction of the bound between two queries to other VMs.
 const ASK_EVERY: f64 = 0.2;
 /// The fraction of the bound after which a VM reads the store itself, and the spread of these reads, so that the first
@@ -102,7 +102,7 @@
     /// Returns the maximum age of a configuration whose keys are accepted.
     #[must_use]
     pub fn use_within(&self) -> Duration {
-        self.0.mul_f64(USE)
+        self.0.mul_f64(USE_WITHIN)
     }
 
     /// Returns the time between two queries to other VMs.
