--- a/crates/limehollow/tests/quota.rs
+++ b/crates/limehollow/tests/quota.rs
@@ -232,7 +232,7 @@
             0 => self.vms[vm] = self.new_accounts(n),
             1 => {
                 self.suspended_until[vm] =
-                    self.now + Duration::from_millis(self.rng.random_range(0..5000))
+                    self.now + Duration::from_millis(self.rng.random_range(0..5000));
             }
             2 => {
                 let coordinator = self.rng.random_range(0..n);
--- a/crates/limehollow/tests/send_budget.rs
+++ b/crates/limehollow/tests/send_budget.rs
@@ -16,8 +16,8 @@
     for i in 0..seconds * 1000 {
         let now = began + STEP * i;
         for (sum, (urgency, copies)) in sent.iter_mut().zip(per_step) {
-            let spent = (0..*copies).filter(|_| budget.try_spend(now, DATAGRAM, *urgency));
-            *sum += spent.count() * DATAGRAM;
+            let accepted = (0..*copies).filter(|_| budget.try_spend(now, DATAGRAM, *urgency));
+            *sum += accepted.count() * DATAGRAM;
         }
     }
     sent
