--- a/crates/limehollow-node/src/answer.rs
+++ b/crates/limehollow-node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Answers that the gateway itself produces.
 
 use crate::edge::Protocol;
 use crate::logging::may_log;
@@ -14,7 +14,7 @@
 /// The body of an answer.
 pub type Outgoing<P> = Either<Full<Bytes>, Relay<P>>;
 
-/// Why a request is refused; it did not run.
+/// Why a request that did not run is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
     NoConfiguration,
@@ -22,17 +22,17 @@
     NoModel,
     NoAdapter,
     Busy,
-    /// What could serve it has said how much it takes, and has got that.
+    /// The endpoints that could serve the request have reached the limits that they stated.
     AtLimit,
-    TurnedAway,
+    EndpointRefused,
     Unreached,
-    /// Whether its key counts can't be told now.
+    /// The validity of the request's key can't be confirmed at present.
     KeyUnconfirmed,
-    /// Its workspace has used what it may.
+    /// The request's workspace has used up its limit.
     OverLimit,
-    /// Whether its workspace has used what it may can't be told now.
+    /// The limit of the request's workspace can't be looked up at present.
     LimitUnknown,
-    /// It has crashed endpoints that ran it.
+    /// The request has crashed endpoints that ran it.
     Quarantined,
 }
 
@@ -45,7 +45,7 @@
             Self::NoAdapter => "no endpoint holds the adapter",
             Self::Busy => "the endpoints are busy",
             Self::AtLimit => "the endpoints take no more requests now",
-            Self::TurnedAway => "the endpoint refused it",
+            Self::EndpointRefused => "the endpoint refused it",
             Self::Unreached => "no endpoint could be reached",
             Self::KeyUnconfirmed => "the key can't be confirmed now",
             Self::OverLimit => "the workspace is over its limit",
@@ -64,7 +64,7 @@
     }
 }
 
-/// Refuses a request that did not run.
+/// Builds the answer to a request that is refused and did not run, and counts and logs it.
 pub(crate) fn refuse<P>(
     site: &Site<P>,
     id: &str,
@@ -93,7 +93,7 @@
     res
 }
 
-/// Makes an answer of the gateway's own.
+/// Builds a plain-text answer.
 pub(crate) fn plain<P>(
     site: &Site<P>,
     status: StatusCode,
--- a/crates/limehollow-node/src/assignment.rs
+++ b/crates/limehollow-node/src/assignment.rs
@@ -1,12 +1,12 @@
-//! Which endpoint a request goes to: as the VM says that keeps its model's places, or by this VM's own knowledge.
+//! Chooses the endpoint of a request: the model's coordinator assigns it, or this VM chooses from its own view.
 //!
-//! Each VM hears a quarter of a second late what the others have at the endpoints, and in that time an endpoint reads several
-//! prompts. So one VM of the site keeps the places of a model's endpoints and says where each request goes; it knows at once what
-//! it has promised. What VMs say for this grows with requests, not with the square of VMs. While the keeper is silent, or what
-//! it says doesn't fit what this VM knows, this VM chooses by itself.
+//! Each VM learns the other VMs' load on the endpoints a quarter of a second late, and in that time an endpoint reads several
+//! prompts. So one VM of the site, the coordinator, assigns the endpoints of a model to all requests; it counts each assignment
+//! at once. The traffic for this grows with the requests, not with the square of the VMs. While the coordinator doesn't answer,
+//! or its assignment contradicts this VM's view, this VM chooses by itself.
 //!
-//! Without it the emptiest endpoint gets every VM's next request at once, and its streams pause while it reads the prompts
-//! (`docs/design/shifted-work.md`).
+//! Without a coordinator the least loaded endpoint gets every VM's next request at once, and its streams pause while it reads
+//! the prompts (`docs/design/shifted-work.md`).
 
 use crate::edge::Protocol;
 use crate::settings::ChoicePolicy;
@@ -24,14 +24,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the keeper of places is waited for: many times an answer's way, and a part of the shortest objective that isn't missed.
-const KEEPER_WITHIN: Duration = Duration::from_millis(25);
-/// For how long a keeper that was silent isn't asked again.
-const SILENT_FOR: Duration = Duration::from_millis(100);
-/// How many endpoints are named in a question at most.
-const MOST_NAMED: usize = 64;
-/// The part of the longest pause that an endpoint may spend reading prompts: its streams wait meanwhile,
-/// and prompts that are sent by other gateways at the same moment come on top.
+/// The timeout of a query to the coordinator: many times the round trip, and a negligible share of the shortest objective.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(25);
+/// How long a coordinator that didn't answer isn't queried again.
+const UNRESPONSIVE_FOR: Duration = Duration::from_millis(100);
+/// The maximum number of endpoints that a query may exclude.
+const MAX_EXCLUDED: usize = 64;
+/// The share of the longest allowed pause of a stream that an endpoint may spend reading prompts: its streams wait
+/// meanwhile, and prompts that other gateways send at the same time come in addition.
 const READING_SHARE: f64 = 0.5;
 
 /// Chooses the endpoint for a job, other than those that were tried already.
@@ -45,27 +45,27 @@
     P: Protocol,
 {
     match chooser(site, job) {
-        Chooser::Coordinator => return promise(site, catalog, job, tried),
+        Chooser::Coordinator => return assign(site, catalog, job, tried),
         Chooser::Other(coordinator) => {
-            if let Some(choice) = ask(site, coordinator, job, tried).await {
+            if let Some(choice) = query_coordinator(site, coordinator, job, tried).await {
                 return choice;
             }
         }
         Chooser::Alone => {}
     }
-    choose_here(site.now(), &site.view(), catalog, job, tried)
+    choose_locally(site.now(), &site.view(), catalog, job, tried)
 }
 
-/// Looks where a job could go by what this VM knows, without a choice.
-pub(crate) fn look<P>(site: &Site<P>, catalog: &Catalog, job: &Job) -> Choice
+/// Returns where a job could go by this VM's view, without reserving the endpoint.
+pub(crate) fn preview<P>(site: &Site<P>, catalog: &Catalog, job: &Job) -> Choice
 where
     P: Protocol,
 {
-    choose_here(site.now(), &site.view(), catalog, job, &[])
+    choose_locally(site.now(), &site.view(), catalog, job, &[])
 }
 
-/// Chooses by what this VM knows.
-fn choose_here(
+/// Chooses by this VM's own view.
+fn choose_locally(
     now: Instant,
     view: &SiteView,
     catalog: &Catalog,
@@ -76,13 +76,13 @@
     view.balance.choose(now, &view.roster, bounds, job, tried)
 }
 
-/// Who says where a request goes.
+/// The VM that chooses the endpoint of a request.
 enum Chooser {
-    /// This VM, for all.
+    /// This VM, which coordinates the model for all VMs.
     Coordinator,
-    /// The VM that listens there.
+    /// The coordinator at this address.
     Other(SocketAddr),
-    /// This VM, for its own requests only.
+    /// This VM, by its own view and for its own requests only.
     Alone,
 }
 
@@ -90,8 +90,8 @@
 where
     P: Protocol,
 {
-    // A request that may crash its endpoint goes where it does least harm, by what this VM knows. Without a model no
-    // prompt is read, and what VMs say of the requests they hold is enough.
+    // A request that may crash its endpoint goes where it does least harm, by this VM's view. Without a model no prompt
+    // is read, and the load that VMs report is precise enough.
     let Some(m) = job.model.as_ref().filter(|_| !job.isolated) else {
         return Chooser::Alone;
     };
@@ -109,21 +109,29 @@
     }
 }
 
-async fn ask<P>(site: &Site<P>, to: SocketAddr, job: &Job, tried: &[EndpointKey]) -> Option<Choice>
+async fn query_coordinator<P>(
+    site: &Site<P>,
+    to: SocketAddr,
+    job: &Job,
+    tried: &[EndpointKey],
+) -> Option<Choice>
 where
     P: Protocol,
 {
-    let tried = unusable(site, job, tried)?;
+    let tried = excluded(site, job, tried)?;
     let body = QueryBody::Assignment {
         job: job.clone(),
         tried,
     };
-    let reply = site.queries.ask(&site.clock, to, body, KEEPER_WITHIN).await;
+    let reply = site
+        .queries
+        .ask(&site.clock, to, body, COORDINATOR_TIMEOUT)
+        .await;
     let Some(Reply::Assignment(assignment)) = reply else {
         let now = site.now();
         let mut view = site.view();
         view.unresponsive
-            .note(now, QueryKind::Assignment, to, SILENT_FOR);
+            .record(now, QueryKind::Assignment, to, UNRESPONSIVE_FOR);
         return None;
     };
     match assignment {
@@ -138,14 +146,14 @@
             takes.then_some(Choice::To(key, f64::from(expected_ms)))
         }
         Assignment::Overloaded(expected_ms) => Some(Choice::Overloaded(f64::from(expected_ms))),
-        // What the keeper doesn't know of, this VM may.
+        // This VM may know an endpoint that the coordinator doesn't.
         Assignment::NoEndpoint => None,
     }
 }
 
-/// Gives the endpoints that a job can't go to: those that were tried, and those that want nothing of this VM, which the VM that
-/// is asked can't know. Gives none if they are too many for a question.
-fn unusable<P>(site: &Site<P>, job: &Job, tried: &[EndpointKey]) -> Option<Vec<Instance>>
+/// Returns the endpoints that a job can't go to: those that were tried, and those that accept nothing from this VM at
+/// present, which the coordinator can't know. Returns `None` if there are too many for a query.
+fn excluded<P>(site: &Site<P>, job: &Job, tried: &[EndpointKey]) -> Option<Vec<Instance>>
 where
     P: Protocol,
 {
@@ -155,24 +163,24 @@
     let closed = closed.filter_map(|k| view.roster.get(k));
     let closed = closed.filter(|e| e.service == job.service);
     let all: Vec<Instance> = tried.chain(closed).map(|e| e.instance.clone()).collect();
-    (all.len() <= MOST_NAMED).then_some(all)
+    (all.len() <= MAX_EXCLUDED).then_some(all)
 }
 
-/// Chooses an endpoint for a job, of which the VM that keeps its places knows from now on.
-fn promise<P>(site: &Site<P>, catalog: &Catalog, job: &Job, tried: &[EndpointKey]) -> Choice
+/// Chooses an endpoint for a job and counts the job there from now on, as the model's coordinator.
+fn assign<P>(site: &Site<P>, catalog: &Catalog, job: &Job, tried: &[EndpointKey]) -> Choice
 where
     P: Protocol,
 {
     let now = site.now();
     let mut view = site.view();
-    let choice = choose_here(now, &view, catalog, job, tried);
+    let choice = choose_locally(now, &view, catalog, job, tried);
     if let Choice::To(key, _) = choice {
         view.balance.record_assignment(now, key, job);
     }
     choice
 }
 
-/// Says to another VM where a job of its goes.
+/// Answers another VM's query for the endpoint of a job.
 pub(crate) fn answer<P>(site: &Site<P>, job: &Job, tried: &[Instance]) -> Reply
 where
     P: Protocol,
@@ -185,7 +193,7 @@
         tried.iter().filter_map(|i| view.roster.find(i)).collect()
     };
     #[expect(clippy::cast_possible_truncation, reason = "rounding is harmless")]
-    let assignment = match promise(site, &catalog, job, &tried) {
+    let assignment = match assign(site, &catalog, job, &tried) {
         Choice::To(key, expected_ms) => {
             let view = site.view();
             let e = view.roster.get(key);
@@ -194,7 +202,7 @@
             })
         }
         Choice::Overloaded(expected_ms) => Assignment::Overloaded(expected_ms as f32),
-        // What rests for this VM may not for the one that asks.
+        // An endpoint that asked this VM for backoff may accept requests from the VM that queries.
         Choice::BackingOff(_) | Choice::NoEndpoint | Choice::NoModel | Choice::NoAdapter => {
             Assignment::NoEndpoint
         }
--- a/crates/limehollow-node/src/attempt.rs
+++ b/crates/limehollow-node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try at an endpoint.
+//! One attempt to send a request to an endpoint.
 
 use crate::edge::{AnswerClass, Protocol};
 use crate::endpoint_signals;
@@ -19,35 +19,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a failed try shows of the endpoint.
+/// What a failed attempt shows about the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvidence {
-    /// Nothing that outlasts the try.
+    /// Nothing that matters beyond this attempt.
     Nothing,
-    /// Nobody listens at its address.
+    /// No process listens at its address.
     NotListening,
-    /// The connection ended under the request.
+    /// The connection ended while the request was running.
     ConnectionEnded,
     /// Another instance answers at its address.
     OtherInstance,
-    /// It doesn't hold what was asked for.
+    /// The endpoint doesn't hold the requested model or adapter.
     NotHeld,
-    /// Nothing of the endpoint: the caller's key doesn't count any more.
+    /// Nothing about the endpoint: the caller's key is no longer valid.
     KeyRevoked,
 }
 
-/// How a try failed.
+/// Why an attempt failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// What happened.
+    /// The kind of failure.
     pub failure: Failure,
-    /// Whether the request may have run there.
+    /// Whether the request may have run on the endpoint.
     pub verdict: Verdict,
-    /// Whether the request reached the endpoint, which counts as a try.
+    /// Whether the request reached the endpoint; only then the attempt counts against the rule's maximum.
     pub reached: bool,
-    /// What it shows of the endpoint.
+    /// What the failure shows about the endpoint.
     pub evidence: EndpointEvidence,
-    /// What the connection or the answer said.
+    /// The error of the connection, or a description of the answer.
     pub why: SmolStr,
 }
 
@@ -74,31 +74,34 @@
         Self::unsent(evidence, format_smolstr!("{e}"))
     }
 
-    /// Makes the failure of a try at an endpoint that began to leave, or went, before the request was sent.
+    /// Creates the failure of an attempt whose endpoint left, or began to leave, before the request was sent.
     #[must_use]
-    pub fn gone() -> Self {
-        Self::unsent(EndpointEvidence::Nothing, SmolStr::new_static("it leaves"))
+    pub fn endpoint_gone() -> Self {
+        Self::unsent(
+            EndpointEvidence::Nothing,
+            SmolStr::new_static("the endpoint leaves"),
+        )
     }
 
-    /// Makes the failure of a try at an endpoint that named a limit, or asked for rest, before the request was sent.
+    /// Creates the failure of an attempt whose endpoint stated a limit or asked for backoff before the request was sent.
     #[must_use]
-    pub fn no_room() -> Self {
+    pub fn at_limit() -> Self {
         Self::unsent(
             EndpointEvidence::Nothing,
-            SmolStr::new_static("it takes no more requests now"),
+            SmolStr::new_static("the endpoint takes no more requests now"),
         )
     }
 
-    /// Makes the failure of a try before which the caller's key was taken away, or could not be confirmed any more.
+    /// Creates the failure of an attempt before which the caller's key was removed or could no longer be confirmed.
     #[must_use]
-    pub fn key_gone() -> Self {
+    pub fn key_revoked() -> Self {
         Self::unsent(
             EndpointEvidence::KeyRevoked,
-            SmolStr::new_static("the key doesn't count"),
+            SmolStr::new_static("the key is no longer valid"),
         )
     }
 
-    /// Makes the failure of a try whose request left and whose answer can't be used.
+    /// Creates the failure of an attempt whose request was sent and whose answer can't be used.
     #[must_use]
     pub fn broken(why: SmolStr) -> Self {
         Self {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Makes the failure of a try whose connection ended before the whole answer was there.
+    /// Creates the failure of an attempt whose connection ended before the answer was complete.
     #[must_use]
     pub fn cut_off(e: &hyper::Error) -> Self {
         Self {
@@ -130,47 +133,47 @@
     }
 }
 
-/// What a request has of the limit that its endpoint may name.
+/// A request's share of the rate limit that its endpoint may state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitGrant {
-    /// Nothing: it goes only where no limit is named.
+    /// No share: the request may be sent only if the endpoint states no limit.
     Unlimited,
-    /// One request's part, since this moment.
+    /// The share of one request, granted at this time.
     Granted(Instant),
-    /// It needs nothing: what isn't a request for the endpoint's work doesn't count.
+    /// No share is needed: the limit counts only requests for the endpoint's work.
     Exempt,
 }
 
-/// The endpoint that a request is sent to.
+/// The endpoint to which a request is sent.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Its key in this process's arena.
     pub key: EndpointKey,
     /// The only instance that may run the request.
     pub instance: Instance,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// What the request has of its limit.
+    /// The request's share of the endpoint's limit.
     pub grant: LimitGrant,
 }
 
-/// An answer whose body is still to come, and the connection that it comes on.
+/// An answer whose body is still to be read, and its connection.
 #[derive(Debug)]
 pub struct Answer {
-    /// Head and body.
+    /// The head, and the body to read.
     pub response: Response<Incoming>,
-    /// The connection.
+    /// The connection on which the body arrives.
     pub connection: Connection,
 }
 
-/// Sends a request to an endpoint, on a kept connection if there is one, and reads the answer's head.
+/// Sends a request to an endpoint, on a pooled connection if there is one, and reads the answer's head.
 ///
-/// Opening a connection takes up to [`crate::pool::CONNECT_TIMEOUT`], so the endpoint, its limit and the caller's key are looked up
-/// again before each send.
+/// Opening a connection takes up to [`crate::pool::CONNECT_TIMEOUT`], so the endpoint, its limit and the caller's key are
+/// checked again before each send.
 ///
 /// # Errors
 ///
-/// [`AttemptFailure`] says whether the request may have run.
+/// Returns an [`AttemptFailure`], which says whether the request may have run.
 pub async fn send<P>(
     site: &Site<P>,
     pool: &Pool,
@@ -182,7 +185,7 @@
 where
     P: Protocol,
 {
-    // A kept connection that turns out to be closed gives the request back unsent.
+    // A pooled connection that turns out to be closed returns the request unsent.
     while let Some(mut c) = pool.take(to.key) {
         may_send(site, to, authorization)?;
         let asked = site.now();
@@ -211,12 +214,12 @@
     }
 }
 
-/// Looks at the last moment before a request is sent whether it still may be. Between the choice of its endpoint and now a
-/// connection may have been opened, and all that allowed it may have changed.
+/// Checks directly before a request is sent whether it still may be. Since the endpoint was chosen a connection may have been
+/// opened, and the endpoint's state, its limit and the caller's key may have changed meanwhile.
 ///
 /// # Errors
 ///
-/// [`AttemptFailure`], as of a request that was not sent.
+/// Returns an [`AttemptFailure`] of a request that was not sent.
 pub fn may_send<P>(
     site: &Site<P>,
     to: &Target,
@@ -226,27 +229,27 @@
     P: Protocol,
 {
     if !authorization.is_none_or(|p| keys::is_valid(site, p)) {
-        return Err(AttemptFailure::key_gone());
+        return Err(AttemptFailure::key_revoked());
     }
     let view = site.view();
     if !view.roster.takes_work(to.key) {
-        return Err(AttemptFailure::gone());
+        return Err(AttemptFailure::endpoint_gone());
     }
-    let (now, wishes) = (site.now(), &view.balance.backpressure);
-    let has_room = match to.grant {
+    let (now, backpressure) = (site.now(), &view.balance.backpressure);
+    let is_within_limit = match to.grant {
         LimitGrant::Exempt => true,
-        LimitGrant::Unlimited => wishes.rate(to.key).is_none(),
-        // The sum over all VMs reckons with so much time between the grant and the sending.
+        LimitGrant::Unlimited => backpressure.rate(to.key).is_none(),
+        // The bound on the sum over all VMs assumes at most this time between the grant and the send.
         LimitGrant::Granted(at) => now.saturating_duration_since(at) <= MAX_TRANSFER_TIME,
     };
-    if has_room && !wishes.is_backing_off(now, to.key) {
+    if is_within_limit && !backpressure.is_backing_off(now, to.key) {
         Ok(())
     } else {
-        Err(AttemptFailure::no_room())
+        Err(AttemptFailure::at_limit())
     }
 }
 
-/// Tells whether an answer is from the endpoint that was asked, so that what it says of itself counts.
+/// Returns `true` if an answer comes from the endpoint to which the request was sent, so that its signals apply to it.
 fn is_from_target(j: AnswerClass) -> bool {
     match j {
         AnswerClass::Genuine
@@ -300,9 +303,9 @@
             };
             Err(AttemptFailure::not_run(why, evidence))
         }
-        // The bytes on this connection can't be told apart any more: it is closed by the drop.
+        // The answers on this connection can no longer be matched to requests, so the connection is dropped and closed.
         AnswerClass::Foreign => Err(AttemptFailure::broken(SmolStr::new_static(
-            "the answer is another request's",
+            "the answer belongs to another request",
         ))),
         AnswerClass::Invalid => Err(AttemptFailure::broken(format_smolstr!(
             "status {} without the endpoint's mark",
@@ -311,20 +314,20 @@
     }
 }
 
-/// Reads how long an endpoint keeps a connection: its own word, zero if it closes, none if it says
-/// nothing.
+/// Returns how long an endpoint keeps a connection open by its answer's headers: zero if it closes the connection, `None` if
+/// the headers don't say.
 #[must_use]
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let closes = text(header::CONNECTION).is_some_and(|v| {
         v.split(',')
-            .any(|word| word.trim().eq_ignore_ascii_case("close"))
+            .any(|token| token.trim().eq_ignore_ascii_case("close"))
     });
     if closes {
         return Some(Duration::ZERO);
     }
-    let words = text(header::HeaderName::from_static("keep-alive"))?;
-    let secs = words
+    let parameters = text(header::HeaderName::from_static("keep-alive"))?;
+    let secs = parameters
         .split(',')
         .find_map(|w| w.trim().strip_prefix("timeout="))?;
     secs.trim().parse().ok().map(Duration::from_secs)
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! One request on its way: to which endpoints it goes, how often, and what its caller is told if none answers.
+//! Dispatches one request: chooses endpoints, retries within the rule's limits, and answers the caller if no endpoint does.
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::assignment;
@@ -7,7 +7,7 @@
 use crate::edge::{Feed, ForwardMeta, Protocol, RequestMeta};
 use crate::header_policy;
 use crate::keys::Authorization;
-use crate::limit_grant::{self, Closed};
+use crate::limit_grant::{self, EndpointsAtLimit};
 use crate::logging::may_log;
 use crate::metrics::Metrics;
 use crate::relay::{Relay, RunningAttempt, millis};
@@ -33,34 +33,36 @@
 use tokio::sync::futures::Notified;
 use tokio::time::Instant;
 
-/// A request is refused when its first result is expected later than so many times the service's
-/// tightest objective: an answer that is late is worth a tenth to a third of one in time, and after four times the
-/// objective callers have left.
-const PATIENCE: f64 = 2.5;
-/// The part of its objective that a request waits at most for a crowded endpoint or for an adapter, which loads in some
-/// ms: what comes later leaves too little of the objective for the result itself. For a model nothing is waited: the fastest load
-/// takes longer than this.
+/// A request is refused if its first result is expected later than this multiple of the service's shortest objective: a
+/// late answer is worth a tenth to a third of one in time, and after four times the objective callers have left.
+const MAX_EXPECTED_OBJECTIVES: f64 = 2.5;
+/// The maximum share of its objective that a request waits for an overloaded endpoint or for an adapter, which loads within
+/// milliseconds: a later start leaves too little of the objective for the result itself. A request doesn't wait for a
+/// model: the fastest load takes longer than this share.
 const WAIT_SHARE: f64 = 0.2;
-/// How often a request that waits for a crowded endpoint looks again, beside when it is told.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
-/// The part of the objective that is left for a caller's second try.
-const SECOND_TRY: f64 = 0.6;
-/// Endpoints that are tried at most when no connection comes about.
+/// How often a request that waits for an overloaded endpoint checks again, in addition to each notification.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// The share of the objective that is left for a caller's second try.
+const SECOND_TRY_SHARE: f64 = 0.6;
+/// The maximum number of endpoints that are tried if no connection can be opened.
 const MAX_UNREACHED: u32 = 4;
-/// When to come back after a refusal: bounds, and where no estimate says it.
+/// The shortest retry delay that a refusal states.
 const SOON: Duration = Duration::from_millis(100);
+/// The retry delay of a refusal for which there is no estimate.
 pub(crate) const LATER: Duration = Duration::from_secs(1);
+/// The longest retry delay that is derived from the expected time of the first result.
 const LATEST: Duration = Duration::from_secs(5);
-/// Over which part of their wait callers are spread that are told to come back at the same moment.
-const SPREAD: f64 = 0.25;
-/// When to come back for a model of which an endpoint has a copy: the order, what makes way, and the load.
-const COPY_SOON: Duration = Duration::from_millis(2500);
-/// What passes before and after a load from the weight store: the demand is told, the order given, the result told.
-const ORDERED_AFTER: Duration = Duration::from_millis(1000);
-/// When to come back for an adapter: it takes some ms to load, behind an order on a model a second.
-const ADAPTER_SOON: Duration = Duration::from_millis(500);
+/// The jitter of a retry delay that many callers get at the same time, as a share of the delay.
+const RETRY_JITTER: f64 = 0.25;
+/// The retry delay for a model of which an endpoint has a local copy: it covers the order, the unloads that make room, and
+/// the load.
+const LOCAL_COPY_RETRY: Duration = Duration::from_millis(2500);
+/// The time around a load from the weight store: the demand is reported, the order sent, and the result announced.
+const LOAD_OVERHEAD: Duration = Duration::from_millis(1000);
+/// The retry delay for an adapter: it loads within milliseconds, and up to a second if it waits behind an order on a model.
+const ADAPTER_RETRY: Duration = Duration::from_millis(500);
 
-/// One request on its way to endpoints.
+/// A request that is being dispatched to endpoints.
 pub(crate) struct Dispatch<'a, P>
 where
     P: Protocol,
@@ -69,10 +71,10 @@
     pub(crate) catalog: &'a Catalog,
     pub(crate) rule: &'a Rule,
     pub(crate) meta: &'a RequestMeta,
-    /// What lets it go on, where it needs a key.
+    /// The authorization by the request's key, if the rule needs one.
     pub(crate) authorization: Option<&'a Authorization>,
-    /// What it has taken of its workspace's limit.
-    pub(crate) taken: f64,
+    /// The tokens that the request has acquired of its workspace's limit.
+    pub(crate) tokens: f64,
     pub(crate) head: &'a Parts,
     pub(crate) body: Bytes,
     pub(crate) caller: IpAddr,
@@ -86,7 +88,7 @@
     pub(crate) verdict: Verdict,
 }
 
-/// An endpoint that was chosen.
+/// An endpoint chosen for the request.
 struct Chosen {
     to: Target,
     expected_ms: f64,
@@ -97,7 +99,7 @@
     P: Protocol,
 {
     pub(crate) async fn run(mut self) -> Response<Outgoing<P>> {
-        self.note_arrival();
+        self.record_arrival();
         loop {
             let chosen = match self.choose().await {
                 Ok(c) => c,
@@ -114,13 +116,13 @@
             } else {
                 self.unreached += 1;
             }
-            if !self.may_go_on(&failed) {
+            if !self.may_retry(&failed) {
                 let reason = match failed.evidence {
                     EndpointEvidence::KeyRevoked => Reason::KeyUnconfirmed,
-                    _ if failed.reached => Reason::TurnedAway,
+                    _ if failed.reached => Reason::EndpointRefused,
                     _ => Reason::Unreached,
                 };
-                return self.give_up(reason, self.again_after(&failed));
+                return self.give_up(reason, self.retry_delay(&failed));
             }
             if failed.evidence == EndpointEvidence::ConnectionEnded {
                 crash_probe::settled(self.site, &chosen.to.instance).await;
@@ -128,23 +130,27 @@
         }
     }
 
-    fn note_arrival(&self) {
+    fn record_arrival(&self) {
         let now = self.site.now();
         let mut view = self.site.view();
         if let Some(m) = &self.job.model {
             let engine = self.catalog.engine(&self.job.service);
-            let places = engine.map_or(1, |e| e.slots);
-            let work = view.balance.demand_ms(&self.job, places);
+            let slots = engine.map_or(1, |e| e.slots);
+            let work = view.balance.demand_ms(&self.job, slots);
             view.arrivals.record(now, m, work);
         }
         let window = view.repeats.entry(self.job.service.clone()).or_default();
         window.request(now);
     }
 
-    /// Chooses an endpoint, or gives the reason for a refusal and when to come back.
+    /// Chooses an endpoint.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for a refusal and the retry delay.
     async fn choose(&mut self) -> Result<Chosen, (Reason, Duration)> {
         let until = self.arrived + self.rule.objective.mul_f64(WAIT_SHARE);
-        let mut closed = Closed::default();
+        let mut at_limit = EndpointsAtLimit::default();
         loop {
             let changed = self.site.endpoints_changed.notified();
             let now = self.site.now();
@@ -154,7 +160,7 @@
                 Standing::Suspect => true,
                 Standing::Quarantined(left) => return Err((Reason::Quarantined, left)),
             };
-            let unusable = [&self.tried[..], closed.keys()].concat();
+            let unusable = [&self.tried[..], at_limit.keys()].concat();
             let choice = assignment::choose(self.site, self.catalog, &self.job, &unusable).await;
             let (reason, after) = match choice {
                 Choice::To(key, expected_ms) => {
@@ -164,87 +170,99 @@
                             chosen.to.grant = grant;
                             return Ok(chosen);
                         }
-                        Err(wait) => closed.add(key, wait),
+                        Err(wait) => at_limit.add(key, wait),
                     }
                     continue;
                 }
-                Choice::Overloaded(expected_ms) => (Reason::Busy, self.come_back(expected_ms)),
+                Choice::Overloaded(expected_ms) => {
+                    (Reason::Busy, self.busy_retry_delay(expected_ms))
+                }
                 Choice::BackingOff(wait) => (Reason::AtLimit, wait),
                 Choice::NoEndpoint => (Reason::NoEndpoint, LATER),
-                Choice::NoModel => (Reason::NoModel, self.model_comes()),
-                Choice::NoAdapter => (Reason::NoAdapter, ADAPTER_SOON),
+                Choice::NoModel => (Reason::NoModel, self.model_retry_delay()),
+                Choice::NoAdapter => (Reason::NoAdapter, ADAPTER_RETRY),
             };
-            // Of what holds what it needs, some has got as much as it takes.
-            let (reason, after) = match closed.opens_in() {
+            // An endpoint that holds what the request needs is at its limit.
+            let (reason, after) = match at_limit.opens_in() {
                 Some(wait) if reason != Reason::Busy => (Reason::AtLimit, wait.min(after)),
                 _ => (reason, after),
             };
             if let (Reason::NoModel | Reason::NoAdapter, Some(m)) = (reason, &self.job.model) {
                 self.site.request_load(m);
             }
-            let may_come_in_time = match reason {
+            let may_start_in_time = match reason {
                 Reason::Busy | Reason::NoAdapter => now < until,
                 Reason::AtLimit => now + after < until,
                 _ => false,
             };
-            if !may_come_in_time {
-                let is_shared = reason == Reason::AtLimit;
-                return Err((reason, if is_shared { spread(after) } else { after }));
+            if !may_start_in_time {
+                let is_shared_wait = reason == Reason::AtLimit;
+                return Err((
+                    reason,
+                    if is_shared_wait {
+                        with_jitter(after)
+                    } else {
+                        after
+                    },
+                ));
             }
             match reason {
-                Reason::Busy => self.until_eased((now + LOOK_AGAIN).min(until)).await,
+                Reason::Busy => {
+                    self.wait_for_capacity((now + RECHECK_INTERVAL).min(until))
+                        .await
+                }
                 Reason::AtLimit => {
-                    closed = Closed::default();
-                    self.until_told(now + after, changed).await;
+                    at_limit = EndpointsAtLimit::default();
+                    self.wait_for_change(now + after, changed).await;
                 }
-                _ => self.until_told(until, changed).await,
+                _ => self.wait_for_change(until, changed).await,
             }
         }
     }
 
-    /// Waits until a prompt has been read or a request has ended, but no longer than this: then it looks again, or refuses.
-    async fn until_eased(&self, at: Instant) {
-        self.until_told(at, self.site.capacity_freed.notified())
+    /// Waits until a prompt has been read or a request has ended, but no longer than `at`.
+    async fn wait_for_capacity(&self, at: Instant) {
+        self.wait_for_change(at, self.site.capacity_freed.notified())
             .await;
     }
 
-    /// Waits until it is told that something has changed, but no longer than this: then it looks again, or refuses.
-    async fn until_told(&self, at: Instant, told: Notified<'_>) {
-        let _timed_out = self.site.clock.timeout_at(at, told).await;
+    /// Waits for a notification, but no longer than `at`. The caller then checks again, or refuses the request.
+    async fn wait_for_change(&self, at: Instant, changed: Notified<'_>) {
+        let _timed_out = self.site.clock.timeout_at(at, changed).await;
     }
 
-    /// Gives when a caller should come back whose request may not be sent once more.
-    fn again_after(&self, f: &AttemptFailure) -> Duration {
+    /// Returns the retry delay for a request that failed and may not be sent again.
+    fn retry_delay(&self, f: &AttemptFailure) -> Duration {
         if f.evidence == EndpointEvidence::KeyRevoked {
             return SOON;
         }
-        match assignment::look(self.site, self.catalog, &self.job) {
-            Choice::BackingOff(wait) => spread(wait),
+        match assignment::preview(self.site, self.catalog, &self.job) {
+            Choice::BackingOff(wait) => with_jitter(wait),
             _ => SOON,
         }
     }
 
-    /// Gives when a caller should come back for a model that is nowhere: once it is loaded, from a copy if an endpoint has
-    /// one at hand, else from the weight store.
-    fn model_comes(&self) -> Duration {
-        let Some(wanted) = &self.job.model else {
+    /// Returns the retry delay for a model that no endpoint holds: the time to load it, from a local copy if an endpoint has
+    /// one, otherwise from the weight store.
+    fn model_retry_delay(&self) -> Duration {
+        let Some(model) = &self.job.model else {
             return LATER;
         };
         let view = self.site.view();
         let mut open = view.roster.open(&self.job.service);
-        if open.any(|(_, e)| e.copies.contains(&wanted.model)) {
-            return COPY_SOON;
+        if open.any(|(_, e)| e.copies.contains(&model.model)) {
+            return LOCAL_COPY_RETRY;
         }
         let engine = self.catalog.engine(&self.job.service);
-        let spec = engine.and_then(|e| e.models.get(&wanted.model));
-        spec.map_or(LATER, |s| s.cold_load + ORDERED_AFTER)
+        let spec = engine.and_then(|e| e.models.get(&model.model));
+        spec.map_or(LATER, |s| s.cold_load + LOAD_OVERHEAD)
     }
 
-    /// Gives when a caller should come back that is refused because the first result would take so long.
-    fn come_back(&self, expected_ms: f64) -> Duration {
+    /// Returns the retry delay for a request that is refused because its first result would take too long.
+    fn busy_retry_delay(&self, expected_ms: f64) -> Duration {
         let objective = self.objective_ms();
         let excess =
-            Duration::from_secs_f64((expected_ms - objective * SECOND_TRY).max(0.0) / 1000.0);
+            Duration::from_secs_f64((expected_ms - objective * SECOND_TRY_SHARE).max(0.0) / 1000.0);
         excess.clamp(SOON, LATEST)
     }
 
@@ -254,8 +272,8 @@
     }
 
     fn admit(&self, key: EndpointKey, expected_ms: f64) -> Result<Chosen, (Reason, Duration)> {
-        if expected_ms > self.objective_ms() * PATIENCE {
-            return Err((Reason::Busy, self.come_back(expected_ms)));
+        if expected_ms > self.objective_ms() * MAX_EXPECTED_OBJECTIVES {
+            return Err((Reason::Busy, self.busy_retry_delay(expected_ms)));
         }
         let view = self.site.view();
         let e = view.roster.get(key).ok_or((Reason::NoEndpoint, SOON))?;
@@ -273,20 +291,20 @@
         let sent = {
             let mut view = self.site.view();
             let view = &mut *view;
-            // Of the requests that were waiting for room, another may show whether the endpoint's rest is over.
+            // Several requests may have waited for this endpoint. Only one of them probes whether its backoff is over.
             if view.balance.backpressure.opens_in(now, c.to.key).is_some() {
-                return Err(AttemptFailure::no_room());
+                return Err(AttemptFailure::at_limit());
             }
             let Some(e) = view.roster.get(c.to.key) else {
-                return Err(AttemptFailure::gone());
+                return Err(AttemptFailure::endpoint_gone());
             };
             let to = (c.to.key, e);
             view.balance.start(now, to, &self.job, c.expected_ms)
         };
-        let names = (self.fingerprint, OriginTag::from(self.caller));
+        let identity = (self.fingerprint, OriginTag::from(self.caller));
         let instance = c.to.instance.clone();
         let (site, id) = (Arc::clone(self.site), self.meta.id.clone());
-        let mut running = RunningAttempt::new(site, sent, id, names, instance, self.arrived);
+        let mut running = RunningAttempt::new(site, sent, id, identity, instance, self.arrived);
         self.log_sent(c);
         let req = self.request(c, now);
         let answer = attempt::send(
@@ -301,14 +319,14 @@
             running.end(AttemptOutcome::Failed(Failure::Deadline), "expired");
             return Ok(self.expired());
         };
-        let answer = sent.inspect_err(|f| self.note_failure(&mut running, &c.to, f))?;
+        let answer = sent.inspect_err(|f| self.record_failure(&mut running, &c.to, f))?;
         let (head, body) = answer.response.into_parts();
         let streamed = self.rule.stream && head.status.is_success();
         if streamed {
             let relay = Relay::new(body, answer.connection, running, self.expiry);
             return Ok(self.forward(head, Either::Right(relay)));
         }
-        running.first();
+        running.record_first_result();
         let Ok(collected) = self
             .site
             .clock
@@ -320,12 +338,12 @@
         };
         let body = collected.map_err(|e| {
             let f = AttemptFailure::cut_off(&e);
-            self.note_failure(&mut running, &c.to, &f);
+            self.record_failure(&mut running, &c.to, &f);
             f
         })?;
         self.site.pool.put_in_background(answer.connection, None);
         if head.status.is_server_error() {
-            running.ran_to_end();
+            running.record_ran_to_end();
             running.end(
                 AttemptOutcome::Failed(Failure::ServerError),
                 "the endpoint failed",
@@ -340,7 +358,7 @@
                 return Err(f);
             }
         } else {
-            running.whole();
+            running.complete();
         }
         Metrics::count(&self.site.metrics.requests, "answered");
         Ok(self.forward(head, Either::Left(Full::new(body.to_bytes()))))
@@ -363,9 +381,9 @@
         req
     }
 
-    fn note_failure(&self, running: &mut RunningAttempt<P>, to: &Target, f: &AttemptFailure) {
+    fn record_failure(&self, running: &mut RunningAttempt<P>, to: &Target, f: &AttemptFailure) {
         if f.evidence == EndpointEvidence::ConnectionEnded {
-            running.cut_off();
+            running.record_cut_off();
         }
         running.end(AttemptOutcome::Failed(f.failure), "failed");
         tracing::info!(
@@ -394,8 +412,8 @@
         }
     }
 
-    /// Tells whether another endpoint may be tried after a failure.
-    fn may_go_on(&self, f: &AttemptFailure) -> bool {
+    /// Returns `true` if another endpoint may be tried after a failure.
+    fn may_retry(&self, f: &AttemptFailure) -> bool {
         let may_repeat = self.verdict == Verdict::NotRun || self.rule.repeat == Repeat::Allowed;
         if !may_repeat
             || f.evidence == EndpointEvidence::KeyRevoked
@@ -406,11 +424,11 @@
         if !f.reached {
             return self.unreached < MAX_UNREACHED;
         }
-        self.reached < self.rule.max_attempts && self.site_takes_repeat()
+        self.reached < self.rule.max_attempts && self.take_repeat()
     }
 
-    /// Takes a repeat from the budget, if it has one.
-    fn site_takes_repeat(&self) -> bool {
+    /// Takes a repeat from the service's budget. Returns `false` if the budget is used up.
+    fn take_repeat(&self) -> bool {
         let taken = self.with_budget(RepeatWindow::acquire);
         if taken {
             self.site.metrics.repeats.inc();
@@ -418,7 +436,7 @@
         taken
     }
 
-    /// Asks the service's budget for repeats with what it needs to answer.
+    /// Calls `f` with the service's budget for repeats and the values that it needs.
     fn with_budget<F>(&self, f: F) -> bool
     where
         F: FnOnce(&mut RepeatWindow, Instant, RepeatAllowance, usize) -> bool,
@@ -455,10 +473,10 @@
         )
     }
 
-    /// Gives the final answer of a request that no endpoint has answered.
+    /// Returns the final answer to a request that no endpoint has answered.
     fn give_up(&self, reason: Reason, after: Duration) -> Response<Outgoing<P>> {
         if self.verdict == Verdict::NotRun {
-            self.give_back();
+            self.refund_tokens();
             if may_log() {
                 let model = self.job.model.as_ref();
                 tracing::info!(
@@ -483,15 +501,16 @@
         )
     }
 
-    /// Gives back what the request took of its workspace's limit, if that was so recently that the sum over all VMs allows it.
-    fn give_back(&self) {
+    /// Refunds the tokens that the request acquired of its workspace's limit, if that was recent enough for the bound on the
+    /// sum over all VMs to hold.
+    fn refund_tokens(&self) {
         if let Some(p) = self
             .authorization
             .filter(|_| self.waited() <= MAX_TRANSFER_TIME)
         {
             let mut view = self.site.view();
             view.quotas
-                .refund(self.site.now(), &p.workspace, self.taken);
+                .refund(self.site.now(), &p.workspace, self.tokens);
         }
     }
 
@@ -499,7 +518,7 @@
         self.site.now().saturating_duration_since(self.arrived)
     }
 
-    /// Gives how old the list is from which the endpoint was chosen.
+    /// Returns the age of the list from which the endpoint was chosen.
     fn list_age(&self) -> Option<Duration> {
         let view = self.site.view();
         let freshness = view.feed_reads.freshness(Feed::Endpoints)?;
@@ -529,9 +548,9 @@
     }
 }
 
-/// Gives when one of many refused callers should come back: all of them at the moment at which there is room would be refused
-/// again but for the first.
-fn spread(wait: Duration) -> Duration {
+/// Adds jitter to the retry delay of one of many refused callers: if all came back at the moment at which there is capacity
+/// again, all but the first would be refused again.
+fn with_jitter(wait: Duration) -> Duration {
     wait.max(SOON)
-        .mul_f64(1.0 + rand::random_range(0.0..SPREAD))
+        .mul_f64(1.0 + rand::random_range(0.0..RETRY_JITTER))
 }
--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -166,7 +166,7 @@
                 continue;
             }
             Datagram::Answer(a) => {
-                site.queries.answered(a);
+                site.queries.complete(a);
                 continue;
             }
         };
--- a/crates/limehollow-node/src/limit_grant.rs
+++ b/crates/limehollow-node/src/limit_grant.rs
@@ -1,7 +1,7 @@
-//! A request's part of the limit that its endpoint names.
+//! Acquires a request's share of the rate limit that its endpoint states.
 //!
-//! An endpoint in need names the requests a second that it takes of all VMs together. The VMs share that as they share a
-//! workspace's limit, with a sum that holds whatever happens to them (`docs/design/backpressure.md`).
+//! An overloaded endpoint states how many requests a second it takes from all VMs together. The VMs share this limit as they
+//! share a workspace's limit; their sum stays bounded even when VMs fail (`docs/design/backpressure.md`).
 
 use crate::attempt::{LimitGrant, Target};
 use crate::edge::Protocol;
@@ -11,14 +11,14 @@
 use limehollow::quota::Subject;
 use std::time::Duration;
 
-/// Endpoints that take no more requests now, and in how long the first of them does.
+/// Endpoints that are at their limit, and the time until the first of them takes requests again.
 #[derive(Debug, Default)]
-pub(crate) struct Closed {
+pub(crate) struct EndpointsAtLimit {
     keys: Vec<EndpointKey>,
     opens_in: Option<Duration>,
 }
 
-impl Closed {
+impl EndpointsAtLimit {
     pub(crate) fn add(&mut self, key: EndpointKey, wait: Duration) {
         self.keys.push(key);
         self.opens_in = Some(self.opens_in.map_or(wait, |w| w.min(wait)));
@@ -33,11 +33,11 @@
     }
 }
 
-/// Takes a request's part of an endpoint's limit.
+/// Acquires a request's share of an endpoint's limit.
 ///
 /// # Errors
 ///
-/// In how long there is room, as far as is known.
+/// Returns the estimated time until the limit allows another request.
 pub async fn acquire<P>(site: &Site<P>, to: &Target) -> Result<LimitGrant, Duration>
 where
     P: Protocol,
@@ -48,10 +48,10 @@
     let asked = site.now();
     let subject = Subject::Endpoint(to.instance.id.clone());
     match limits::acquire(site, &subject, 1.0).await {
-        // It was granted after it was asked for.
+        // The grant is dated from before the query, so its age isn't underestimated.
         TokenOutcome::Granted => Ok(LimitGrant::Granted(asked)),
         TokenOutcome::OverLimit(wait) => Err(wait),
-        // Who doesn't know that there is room sends nothing.
+        // Without a grant no request may be sent.
         TokenOutcome::Unanswered => Err(COORDINATOR_TAKEOVER),
     }
 }
--- a/crates/limehollow-node/src/limits.rs
+++ b/crates/limehollow-node/src/limits.rs
@@ -1,7 +1,8 @@
-//! Takes tokens of the limits of workspaces and endpoints for requests, and collects what VMs have earned of them.
+//! Acquires tokens of the limits of workspaces and endpoints for requests, and collects the tokens that VMs have earned.
 //!
-//! What holds is [`limehollow::quota`]; this asks the VM that keeps a limit's pool. Which VM that is each reckons for
-//! itself: the leader of the first zone, in an order by the name of the workspace or the id of the endpoint, that is heard.
+//! The rules are in [`limehollow::quota`]; this module queries the coordinator of a limit, which holds its pool of tokens.
+//! Each VM determines the coordinator by itself: the zones are ordered by the name of the workspace or the id of the endpoint,
+//! and the coordinator is the leader of the first zone from which messages arrive.
 
 use crate::edge::Protocol;
 use crate::site::Site;
@@ -16,34 +17,34 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// How long the keeper of a pool is waited for. Its answer takes a ms or two, and a tenth of a second where one of the two VMs has
-/// used up its part of a processor.
-/// A datagram may be lost too, so it is asked once more.
-const KEEPER_WITHIN: Duration = Duration::from_millis(120);
-/// How long it is waited for where an endpoint's limit is asked for: a request has others to go to, or is refused at once.
-const ENDPOINT_TOKENS_WITHIN: Duration = Duration::from_millis(40);
-const ASKED_AGAIN: usize = 1;
-/// For how long a keeper that was silent twice isn't asked again: another takes over in a second.
-const SILENT_FOR: Duration = Duration::from_millis(300);
-/// How long answers to a collection are waited for; less than tokens may be on their way.
-const COLLECT_WITHIN: Duration = Duration::from_millis(200);
-/// How many keepers a request asks at most.
-const MOST_ASKED: usize = 2;
-/// When to come back where no keeper answers: another has taken over then.
+/// The timeout of a query for a workspace's tokens. An answer takes a millisecond or two, and a tenth of a second if one of
+/// the two VMs has used up its CPU share.
+const WORKSPACE_TOKENS_TIMEOUT: Duration = Duration::from_millis(120);
+/// The timeout of a query for an endpoint's tokens: the request can go to another endpoint, or is refused at once.
+const ENDPOINT_TOKENS_TIMEOUT: Duration = Duration::from_millis(40);
+/// How often a query is sent again if there is no answer, as a datagram may be lost.
+const RESENDS: usize = 1;
+/// How long a coordinator that didn't answer twice isn't queried again: another takes over within a second.
+const UNRESPONSIVE_FOR: Duration = Duration::from_millis(300);
+/// The timeout of a query for earned tokens; shorter than the time for which tokens may be in transit.
+const COLLECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// The maximum number of coordinators that one request queries.
+const MAX_COORDINATORS: usize = 2;
+/// The retry delay if no coordinator answers: another one has taken over by then.
 pub(crate) const COORDINATOR_TAKEOVER: Duration = Duration::from_millis(1000);
 
-/// What became of a request's wish for tokens.
+/// The outcome of a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TokenOutcome {
-    /// It has them, or there is no limit.
+    /// The tokens are acquired, or there is no limit.
     Granted,
-    /// The limit is reached; when there is room.
+    /// The limit is reached; there are enough tokens again after this time.
     OverLimit(Duration),
-    /// No VM that keeps the pool has answered.
+    /// No coordinator has answered.
     Unanswered,
 }
 
-/// Takes tokens of a limit for a request.
+/// Acquires tokens of a limit for a request.
 pub(crate) async fn acquire<P>(site: &Site<P>, subject: &Subject, tokens: f64) -> TokenOutcome
 where
     P: Protocol,
@@ -51,9 +52,9 @@
     if site.view().quotas.acquire(site.now(), subject, tokens) {
         return TokenOutcome::Granted;
     }
-    for coordinator in keepers(site, subject) {
+    for coordinator in coordinators(site, subject) {
         let reply = match coordinator {
-            Some(address) => ask_keeper(site, address, subject, tokens).await,
+            Some(address) => query_coordinator(site, address, subject, tokens).await,
             None => Some(grant(site, subject, tokens)),
         };
         match reply {
@@ -62,41 +63,41 @@
                 return TokenOutcome::OverLimit(Duration::from_millis(u64::from(ms)));
             }
             Some(_other) => {
-                tracing::debug!(?subject, keeper = ?coordinator, "it doesn't keep the pool");
+                tracing::debug!(?subject, keeper = ?coordinator, "the queried VM isn't the coordinator of the limit");
             }
             None => {
-                tracing::debug!(?subject, keeper = ?coordinator, "the keeper of a pool is silent")
+                tracing::debug!(?subject, keeper = ?coordinator, "the coordinator of a limit doesn't answer")
             }
         }
     }
     TokenOutcome::Unanswered
 }
 
-/// Gives what a keeper is asked for, and how long it is waited for.
-fn kind(subject: &Subject) -> (QueryKind, Duration) {
+/// Returns the kind of a query for tokens, and its timeout.
+fn kind_and_timeout(subject: &Subject) -> (QueryKind, Duration) {
     match subject {
-        Subject::Workspace(_) => (QueryKind::WorkspaceTokens, KEEPER_WITHIN),
-        Subject::Endpoint(_) => (QueryKind::EndpointTokens, ENDPOINT_TOKENS_WITHIN),
+        Subject::Workspace(_) => (QueryKind::WorkspaceTokens, WORKSPACE_TOKENS_TIMEOUT),
+        Subject::Endpoint(_) => (QueryKind::EndpointTokens, ENDPOINT_TOKENS_TIMEOUT),
     }
 }
 
-/// Gives the VMs to ask for tokens of a limit, the one first that should keep its pool; none stands for this VM.
-fn keepers<P>(site: &Site<P>, subject: &Subject) -> Vec<Option<SocketAddr>>
+/// Returns the VMs to query for tokens of a limit, the preferred coordinator first. `None` stands for this VM.
+fn coordinators<P>(site: &Site<P>, subject: &Subject) -> Vec<Option<SocketAddr>>
 where
     P: Protocol,
 {
     let now = site.now();
     let view = site.view();
-    let (kind, _) = kind(subject);
-    let silent = |a: &SocketAddr| view.unresponsive.contains(now, kind, *a);
+    let (kind, _) = kind_and_timeout(subject);
+    let is_unresponsive = |a: &SocketAddr| view.unresponsive.contains(now, kind, *a);
     let all = view.peers.coordinators(now, subject.name()).into_iter();
-    let speaking = all.filter(|k| !k.as_ref().is_some_and(silent));
-    speaking.take(MOST_ASKED).collect()
+    let responsive = all.filter(|k| !k.as_ref().is_some_and(is_unresponsive));
+    responsive.take(MAX_COORDINATORS).collect()
 }
 
-/// Asks the keeper of a pool, and once more if it is silent: a datagram may be lost. What it granted in an answer that is lost is
-/// lost too.
-async fn ask_keeper<P>(
+/// Queries the coordinator of a limit, and once more if there is no answer: a datagram may be lost. Tokens granted in an
+/// answer that is lost are lost too.
+async fn query_coordinator<P>(
     site: &Site<P>,
     to: SocketAddr,
     subject: &Subject,
@@ -105,8 +106,8 @@
 where
     P: Protocol,
 {
-    let (kind, within) = kind(subject);
-    for _ in 0..=ASKED_AGAIN {
+    let (kind, within) = kind_and_timeout(subject);
+    for _ in 0..=RESENDS {
         let body = QueryBody::Tokens {
             subject: subject.clone(),
             tokens,
@@ -117,22 +118,24 @@
         }
     }
     let now = site.now();
-    site.view().unresponsive.note(now, kind, to, SILENT_FOR);
+    site.view()
+        .unresponsive
+        .record(now, kind, to, UNRESPONSIVE_FOR);
     None
 }
 
-/// Grants another VM tokens of a pool.
+/// Answers another VM's query for tokens of a limit.
 pub(crate) fn grant<P>(site: &Site<P>, subject: &Subject, tokens: f64) -> Reply
 where
     P: Protocol,
 {
     let mut view = site.view();
     if !view.quotas.is_limited(subject) {
-        // The limit is new, and this VM hasn't heard of it, or it has ended and the one that asks hasn't.
+        // The limit is new and this VM doesn't know it yet, or it has ended and the querying VM doesn't know that yet.
         return Reply::Short(millis(COORDINATOR_TAKEOVER));
     }
     let now = site.now();
-    if !is_keeper(&view.peers, now, subject) {
+    if !is_coordinator(&view.peers, now, subject) {
         let granted = view.quotas.acquire(now, subject, tokens);
         return if granted {
             Reply::Granted
@@ -150,8 +153,8 @@
     u32::try_from(d.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Hands over to the keeper of some pools what this VM has earned.
-pub(crate) fn hand_over<P>(
+/// Transfers the tokens that this VM has earned to the coordinator of the limits.
+pub(crate) fn transfer_earnings<P>(
     site: &Site<P>,
     coordinator: &SmolStr,
     vms_known: usize,
@@ -163,13 +166,13 @@
     let now = site.now();
     let mut view = site.view();
     view.update_vm_count(now, vms_known);
-    let handed = subjects
+    let transferred = subjects
         .iter()
         .map(|s| view.quotas.transfer(now, s, coordinator));
-    Reply::Earnings(handed.collect())
+    Reply::Earnings(transferred.collect())
 }
 
-/// Collects what VMs have earned, where this one keeps a pool, for as long as the process lives.
+/// Collects the tokens that VMs have earned of the limits that this VM coordinates, until the process ends.
 pub async fn collect_earnings<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
@@ -182,20 +185,20 @@
         if subjects.is_empty() {
             continue;
         }
-        let mut asking = JoinSet::new();
+        let mut queries = JoinSet::new();
         for to in others {
-            asking.spawn(collect(Arc::clone(&site), to, Arc::clone(&subjects)));
+            queries.spawn(collect(Arc::clone(&site), to, Arc::clone(&subjects)));
         }
-        while asking.join_next().await.is_some() {}
+        while queries.join_next().await.is_some() {}
     }
 }
 
-/// Tells whether this VM keeps a limit's pool, as far as it knows.
-fn is_keeper(peers: &Peers, now: Instant, subject: &Subject) -> bool {
+/// Returns `true` if this VM is the coordinator of a limit, as far as it knows.
+fn is_coordinator(peers: &Peers, now: Instant, subject: &Subject) -> bool {
     matches!(peers.coordinators(now, subject.name()).first(), Some(None))
 }
 
-/// Begins a round of collections: gives the limits whose pools this VM keeps, and the VMs to collect from.
+/// Begins a round of collections. Returns the limits that this VM coordinates, and the VMs to collect from.
 fn begin_round<P>(site: &Site<P>) -> (Arc<[Subject]>, Vec<SocketAddr>)
 where
     P: Protocol,
@@ -205,20 +208,20 @@
     let view = &mut *view;
     view.quotas.begin_round(now);
     let all = view.quotas.subjects();
-    let is_mine = |s: &&Subject| is_keeper(&view.peers, now, s);
-    let mine: Arc<[Subject]> = all.filter(is_mine).cloned().collect();
+    let is_own = |s: &&Subject| is_coordinator(&view.peers, now, s);
+    let own: Arc<[Subject]> = all.filter(is_own).cloned().collect();
     let own_vm = SmolStr::new(site.own_vm.as_str());
-    for s in mine.iter() {
+    for s in own.iter() {
         if let Some(tokens) = view.quotas.transfer(now, s, &own_vm) {
             view.quotas.credit(now, s, tokens);
         }
     }
-    let others = if mine.is_empty() {
+    let others = if own.is_empty() {
         Vec::new()
     } else {
         view.peers.addresses()
     };
-    (mine, others)
+    (own, others)
 }
 
 async fn collect<P>(site: Arc<Site<P>>, from: SocketAddr, subjects: Arc<[Subject]>)
@@ -232,14 +235,14 @@
     };
     let reply = site
         .queries
-        .ask(&site.clock, from, body, COLLECT_WITHIN)
+        .ask(&site.clock, from, body, COLLECT_TIMEOUT)
         .await;
-    let Some(Reply::Earnings(handed)) = reply else {
+    let Some(Reply::Earnings(transferred)) = reply else {
         return;
     };
     let now = site.now();
     let mut view = site.view();
-    for (s, tokens) in subjects.iter().zip(handed) {
+    for (s, tokens) in subjects.iter().zip(transferred) {
         if let Some(tokens) = tokens {
             view.quotas.credit(now, s, tokens);
         }
--- a/crates/limehollow-node/src/query.rs
+++ b/crates/limehollow-node/src/query.rs
@@ -1,6 +1,6 @@
-//! Questions that one VM asks another by datagram, and their answers.
+//! Queries that one VM sends to another by datagram, and their answers.
 //!
-//! An answer counts only for its question, and only while that is waited for: what arrives later says nothing of now.
+//! An answer is matched to its query by number, and only until the query's timeout: a later answer is outdated.
 
 use crate::clock::Clock;
 use crate::edge::Protocol;
@@ -14,24 +14,25 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-/// Questions that may wait for answers at once: as many as a VM of the largest site asks in two rounds of collections, and
-/// the requests of a second.
-const MOST_WAITING: usize = 2048;
+/// The maximum number of queries that wait for answers at once: as many as a VM of the largest site sends in two rounds of
+/// collections, and for the requests of one second.
+const MAX_PENDING: usize = 2048;
 
-/// A question and to whom it goes.
-pub type Asked = (SocketAddr, Query);
+/// A query and the address to which it is sent.
+pub type OutgoingQuery = (SocketAddr, Query);
 
-/// The questions of this VM that wait for answers.
+/// This VM's queries that wait for answers.
 #[derive(Debug)]
 pub struct PendingQueries {
-    tx: UnboundedSender<Asked>,
-    rx: Mutex<Option<UnboundedReceiver<Asked>>>,
+    tx: UnboundedSender<OutgoingQuery>,
+    rx: Mutex<Option<UnboundedReceiver<OutgoingQuery>>>,
     waiting: Mutex<Waiting>,
 }
 
 #[derive(Debug)]
 struct Waiting {
-    /// Begins at random, so that answers to a former start of the process aren't taken for later ones.
+    /// The number of the next query. It begins at random, so that answers to queries of a former start of the process don't
+    /// match.
     next: u64,
     answers: HashMap<u64, oneshot::Sender<Reply>>,
 }
@@ -51,7 +52,7 @@
 }
 
 impl PendingQueries {
-    /// Asks another VM and waits for its answer for so long; gives none if there was none.
+    /// Sends a query to another VM and waits for the answer. Returns `None` if there is none within `within`.
     pub(crate) async fn ask(
         &self,
         clock: &Clock,
@@ -60,8 +61,8 @@
         within: Duration,
     ) -> Option<Reply> {
         let (number, answer) = self.expect()?;
-        // Without a task that sends, as in some tests, nobody answers.
-        let _nobody = self.tx.send((to, Query { number, body }));
+        // Some tests run no task that sends queries; the query times out then.
+        let _no_sender = self.tx.send((to, Query { number, body }));
         let until = clock.now() + within;
         let answer = clock.timeout_at(until, answer).await;
         self.waiting().answers.remove(&number);
@@ -70,7 +71,7 @@
 
     fn expect(&self) -> Option<(u64, oneshot::Receiver<Reply>)> {
         let mut waiting = self.waiting();
-        if waiting.answers.len() >= MOST_WAITING {
+        if waiting.answers.len() >= MAX_PENDING {
             return None;
         }
         let number = waiting.next;
@@ -80,28 +81,28 @@
         Some((number, rx))
     }
 
-    /// Takes in an answer.
-    pub fn answered(&self, a: Answer) {
-        let waits = self.waiting().answers.remove(&a.number);
-        if let Some(tx) = waits {
-            // Who asked may have given up in this moment.
-            let _gone = tx.send(a.reply);
+    /// Delivers an answer to the query that waits for it.
+    pub fn complete(&self, a: Answer) {
+        let pending = self.waiting().answers.remove(&a.number);
+        if let Some(tx) = pending {
+            // The query may time out at the same moment.
+            let _timed_out = tx.send(a.reply);
         }
     }
 
-    /// Takes the questions to send; there is one task that does.
-    pub fn take_outgoing(&self) -> Option<UnboundedReceiver<Asked>> {
+    /// Takes the receiver of the queries to send. Returns `None` if it has been taken: only one task sends them.
+    pub fn take_outgoing(&self) -> Option<UnboundedReceiver<OutgoingQuery>> {
         let mut rx = self.rx.lock().unwrap_or_else(PoisonError::into_inner);
         rx.take()
     }
 
     fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        // A panic elsewhere leaves a question without its answer at worst.
+        // After a panic in another task, at worst a query stays unanswered.
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Answers another VM's question.
+/// Answers another VM's query.
 pub fn answer<P>(site: &Site<P>, q: Query) -> Answer
 where
     P: Protocol,
@@ -115,7 +116,7 @@
             coordinator,
             vms_known,
             subjects,
-        } => limits::hand_over(site, &coordinator, usize::from(vms_known), &subjects),
+        } => limits::transfer_earnings(site, &coordinator, usize::from(vms_known), &subjects),
     };
     Answer {
         number: q.number,
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! A streamed answer on its way to the caller, and the account of one try.
+//! Relays a streamed answer to the caller and records the progress of one attempt.
 
 use crate::crash_probe;
 use crate::edge::Protocol;
@@ -24,22 +24,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Why a streamed answer ends before its end. The caller's connection is closed, so that it doesn't
-/// look whole.
+/// Why a streamed answer ends early. The caller's connection is closed, so that the answer doesn't look complete.
 #[derive(Debug, Snafu)]
 pub enum RelayError {
-    /// The endpoint broke off.
+    /// The connection to the endpoint failed.
     #[snafu(display("the endpoint broke off: {source}"))]
     Endpoint {
-        /// What the connection said.
+        /// The connection's error.
         source: hyper::Error,
     },
-    /// The time that a request may take has passed.
+    /// The request's deadline has passed.
     #[snafu(display("the request's time has passed"))]
     Expired,
 }
 
-/// The account of one try at an endpoint. What isn't ended by [`RunningAttempt::end`] was left by the caller.
+/// One attempt at an endpoint that is under way.
+///
+/// If it is dropped before [`RunningAttempt::end`], the caller has disconnected, and it is recorded as such.
 #[derive(Debug)]
 pub struct RunningAttempt<P>
 where
@@ -53,8 +54,9 @@
     instance: Instance,
     began: Instant,
     arrived: Instant,
-    /// When the last part of a streamed answer came, and the longest pause before one.
+    /// When the last part of a streamed answer arrived.
     last_part: Option<Instant>,
+    /// The longest pause between two parts of a streamed answer.
     longest_pause: Duration,
 }
 
@@ -62,7 +64,7 @@
 where
     P: Protocol,
 {
-    /// Begins the account.
+    /// Starts recording an attempt.
     pub fn new(
         site: Arc<Site<P>>,
         sent: Sent,
@@ -89,17 +91,17 @@
         self.site.now().saturating_duration_since(self.began)
     }
 
-    /// Notes that a part of a streamed answer came.
-    pub fn part(&mut self) {
-        self.first();
+    /// Records that a part of a streamed answer arrived.
+    pub fn record_part(&mut self) {
+        self.record_first_result();
         let now = self.site.now();
         if let Some(last) = self.last_part.replace(now) {
             self.longest_pause = self.longest_pause.max(now.duration_since(last));
         }
     }
 
-    /// Notes that the first result came.
-    pub fn first(&mut self) {
+    /// Records that the first result arrived.
+    pub fn record_first_result(&mut self) {
         let Some(sent) = &mut self.sent else { return };
         if sent.first().is_some() {
             return;
@@ -111,8 +113,8 @@
         self.site.metrics.first_byte.observe(since.as_secs_f64());
     }
 
-    /// Notes that the connection to the endpoint ended before the whole answer was there.
-    pub fn cut_off(&mut self) {
+    /// Records that the connection to the endpoint ended before the answer was complete.
+    pub fn record_cut_off(&mut self) {
         let Some(sent) = &self.sent else { return };
         let since_first = sent.first().map(|t| self.elapsed().saturating_sub(t));
         let c = CutOff {
@@ -123,20 +125,20 @@
         crash_probe::note_cut_off(&self.site, sent.endpoint(), c);
     }
 
-    /// Notes that the endpoint ran the request to its end: it doesn't crash those that run it.
-    pub fn ran_to_end(&self) {
+    /// Records that the endpoint ran the request to its end, which shows that the request doesn't crash endpoints.
+    pub fn record_ran_to_end(&self) {
         self.site.record_completed(self.request);
     }
 
-    /// Ends the account of a whole answer.
-    pub fn whole(&mut self) {
-        self.ran_to_end();
+    /// Ends the attempt with a complete answer.
+    pub fn complete(&mut self) {
+        self.record_ran_to_end();
         let first = self.sent.as_ref().and_then(Sent::first);
         let first = first.unwrap_or_else(|| self.elapsed());
         self.end(AttemptOutcome::Completed { first }, "whole");
     }
 
-    /// Ends the account.
+    /// Ends the attempt and logs its outcome.
     pub fn end(&mut self, ending: AttemptOutcome, what: &'static str) {
         let Some(sent) = self.sent.take() else { return };
         let first_ms = sent.first().map(millis);
@@ -170,7 +172,7 @@
     }
 }
 
-/// Gives a duration in whole ms, as log lines have it.
+/// Returns a duration in whole milliseconds, as log lines state it.
 #[must_use]
 pub fn millis(d: Duration) -> u64 {
     u64::try_from(d.as_millis()).unwrap_or(u64::MAX)
@@ -191,7 +193,7 @@
 where
     P: Protocol,
 {
-    /// Makes the body of an answer that has to end by `expiry`.
+    /// Creates the body of an answer that has to end by `expiry`.
     #[must_use]
     pub fn new(
         inner: Incoming,
@@ -208,8 +210,8 @@
         }
     }
 
-    fn finish_whole(&mut self) {
-        self.running.whole();
+    fn finish(&mut self) {
+        self.running.complete();
         if let Some(c) = self.connection.take() {
             Metrics::count(&self.running.site.metrics.requests, "answered");
             self.running.site.pool.put_in_background(c, None);
@@ -253,24 +255,24 @@
         match ready!(Pin::new(&mut self.inner).poll_frame(cx)) {
             Some(Ok(frame)) => {
                 if frame.is_data() {
-                    self.running.part();
+                    self.running.record_part();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(source)) => {
-                self.running.cut_off();
+                self.running.record_cut_off();
                 self.break_off(Failure::Broken, "broken off");
                 Poll::Ready(Some(Err(RelayError::Endpoint { source })))
             }
             None => {
-                self.finish_whole();
+                self.finish();
                 Poll::Ready(None)
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        // The account is closed by the poll that finds the end, so hyper has to make it.
+        // The poll that finds the end completes the attempt, so hyper must not skip it.
         false
     }
 
--- a/crates/limehollow-node/src/request.rs
+++ b/crates/limehollow-node/src/request.rs
@@ -1,4 +1,4 @@
-//! The life of one request: from its head to its final answer.
+//! Handles one request: parses it, checks its key and its workspace's limit, and dispatches it to endpoints.
 
 use crate::answer::{Outgoing, Reason, plain, refuse};
 use crate::dispatch::{Dispatch, LATER};
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// None: what goes wrong is an answer too.
+/// Never fails: each failure is turned into an answer.
 pub async fn handle<P>(
     site: Arc<Site<P>>,
     from: IpAddr,
@@ -45,9 +45,9 @@
 {
     let arrived = site.now();
     let (head, body) = req.into_parts();
-    let closes = site.is_stopping();
+    let is_stopping = site.is_stopping();
     let mut res = answer(site, from, arrived, head, body).await;
-    if closes {
+    if is_stopping {
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
     }
@@ -67,7 +67,7 @@
     let meta = match site.protocol.parse_request(&head) {
         Ok(meta) => meta,
         Err(bad) => {
-            tracing::warn!(error = %bad, "request refused: not understood");
+            tracing::warn!(error = %bad, "request refused: its metadata can't be parsed");
             Metrics::count(&site.metrics.requests, "bad request");
             return plain(&site, StatusCode::BAD_REQUEST, "", &bad.to_string());
         }
@@ -107,9 +107,9 @@
     let workspace = authorization
         .as_ref()
         .and_then(|p| catalog.workspaces.get(&p.workspace));
-    let taken = workspace.map_or(0.0, |w| w.cost.of(meta.tokens()));
+    let tokens = workspace.map_or(0.0, |w| w.cost.of(meta.tokens()));
     if let Some(w) = workspace {
-        match limits::acquire(&site, &Subject::from(&w.name), taken).await {
+        match limits::acquire(&site, &Subject::from(&w.name), tokens).await {
             TokenOutcome::Granted => {}
             TokenOutcome::OverLimit(after) => return over_limit(&site, &meta.id, &w.name, after),
             TokenOutcome::Unanswered => {
@@ -140,7 +140,7 @@
         )
         .restricted_to(site.settings.load().zones_in_regions(&homes)),
         authorization: authorization.as_ref(),
-        taken,
+        tokens,
         site: &site,
         catalog: &catalog,
         rule,
@@ -159,7 +159,11 @@
     d.run().await
 }
 
-/// Reads a request's body whole, or gives the answer for one that is too large, breaks off or comes too slowly.
+/// Reads a request's whole body.
+///
+/// # Errors
+///
+/// Returns the answer for a body that is too large, breaks off or arrives too slowly.
 async fn read_body<P>(
     site: &Site<P>,
     id: &str,
@@ -186,7 +190,7 @@
     Err(plain(site, status, id, text))
 }
 
-/// Answers a request whose key no workspace has.
+/// Builds the answer to a request whose key belongs to no workspace.
 fn unknown_key<P>(site: &Site<P>, version: u64, meta: &RequestMeta) -> Response<Outgoing<P>>
 where
     P: Protocol,
@@ -200,7 +204,7 @@
     plain(site, StatusCode::UNAUTHORIZED, &meta.id, text)
 }
 
-/// Refuses a request whose workspace is over its limit.
+/// Builds the answer to a request whose workspace is over its limit.
 fn over_limit<P>(
     site: &Site<P>,
     id: &str,
@@ -224,7 +228,7 @@
     host.split_once(':').map_or(host, |(h, _)| h)
 }
 
-/// Takes a request's fingerprint. Who asks is the workspace, whichever of its keys came along.
+/// Computes a request's fingerprint. The caller's identity is the workspace, whichever of its keys the request carries.
 fn fingerprint(
     w: Option<&Workspace>,
     meta: &RequestMeta,
@@ -243,7 +247,7 @@
     })
 }
 
-/// Makes the job of a request. A workspace's rank goes before the rule's.
+/// Builds the job of a request. A workspace's rank takes precedence over the rule's.
 fn job(service: &ServiceName, rule: &Rule, rank: Option<u8>, meta: &RequestMeta) -> Job {
     let rank = rank.unwrap_or(rule.rank);
     match &meta.model {
--- a/crates/limehollow-node/src/unresponsive.rs
+++ b/crates/limehollow-node/src/unresponsive.rs
@@ -1,35 +1,35 @@
-//! VMs that gave no answer lately, and aren't asked again for a while.
+//! Records the VMs that didn't answer a query lately, so that they aren't queried again for a while.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a VM was asked. Each is waited for another time, so a VM that was too slow for one may do for another.
+/// The kind of a query. Each kind has its own timeout, so a VM that was too slow for one kind may be fast enough for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QueryKind {
-    /// Tokens of a workspace.
+    /// Asks for tokens of a workspace's limit.
     WorkspaceTokens,
-    /// A request's room at an endpoint that names a limit.
+    /// Asks for tokens of a limit that an endpoint states.
     EndpointTokens,
-    /// Where a request goes.
+    /// Asks for the endpoint of a request.
     Assignment,
 }
 
-/// Until when VMs aren't asked that were silent.
+/// The VMs that didn't answer a query, and until when they aren't queried.
 #[derive(Debug, Default)]
 pub struct UnresponsiveVms {
     until: BTreeMap<(QueryKind, SocketAddr), Instant>,
 }
 
 impl UnresponsiveVms {
-    /// Notes that a VM was silent, so that it isn't asked for some time.
-    pub(crate) fn note(&mut self, now: Instant, kind: QueryKind, vm: SocketAddr, time: Duration) {
+    /// Records that a VM didn't answer, so that it isn't queried for `time`.
+    pub(crate) fn record(&mut self, now: Instant, kind: QueryKind, vm: SocketAddr, time: Duration) {
         self.until.retain(|_, until| now < *until);
         self.until.insert((kind, vm), now + time);
     }
 
-    /// Tells whether a VM isn't to be asked now.
+    /// Returns `true` if a VM must not be queried at present.
     pub(crate) fn contains(&self, now: Instant, kind: QueryKind, vm: SocketAddr) -> bool {
         self.until
             .get(&(kind, vm))
--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -223,7 +223,10 @@
         grant: LimitGrant::Unlimited,
     };
     let sent = send(&g.site, &g.site.pool, &to, Request::default(), "1", None).await;
-    assert_eq!(sent.expect_err("it isn't sent"), AttemptFailure::gone());
+    assert_eq!(
+        sent.expect_err("it isn't sent"),
+        AttemptFailure::endpoint_gone()
+    );
     assert_eq!(s.requests(), 0);
 }
 
--- a/crates/limehollow-node/tests/rig/fleet_net.rs
+++ b/crates/limehollow-node/tests/rig/fleet_net.rs
@@ -112,7 +112,7 @@
         sleep(WAY).await;
         self.goes_on(from.1).await;
         if let Some((_, asker)) = self.reach(from.0, from.1) {
-            asker.queries.answered(answer);
+            asker.queries.complete(answer);
         }
     }
 
