--- a/crates/limehollow-node/src/keys.rs
+++ b/crates/limehollow-node/src/keys.rs
@@ -1,8 +1,8 @@
-//! Which requests may go on by their caller's key, and for how long this VM's keys count.
+//! Authorizes requests by their key, and keeps this VM's configuration confirmed so that its keys stay valid.
 //!
-//! Keys count while the configuration is known to have been the newest so short a time ago ([`limehollow::confirmation`]).
-//! The VM that reads for its zone knows it by its reads; the others ask it, or any other VM, once in a while, and read the
-//! store themselves if none can say.
+//! Keys are valid while the configuration is known to have been the newest within a bound ([`limehollow::confirmation`]).
+//! The VM that reads the store for its zone knows this by its reads. The others query it, or any other VM, from time to time,
+//! and read the store themselves if no VM can confirm the configuration.
 
 use crate::edge::{Feed, Protocol, RequestMeta};
 use crate::site::Site;
@@ -15,17 +15,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long an answer of another VM is waited for: the way through a zone and back takes a ms, a VM that works slowly some
+/// The timeout of a query to another VM: a round trip within a zone takes a millisecond, and an answer of a slow VM some
 /// dozens.
-const ANSWER_WITHIN: Duration = Duration::from_millis(150);
-/// How many VMs are asked in a row, as long as the configuration isn't known to be fresh.
-const ASKED_IN_A_ROW: usize = 3;
-/// The pause between questions while keys don't count: callers are refused meanwhile.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
+/// The maximum number of VMs that are queried in a row while the configuration isn't confirmed.
+const MAX_QUERIES_IN_A_ROW: usize = 3;
+/// The pause between queries while keys aren't valid: callers are refused meanwhile.
 const PAUSE_WHILE_REFUSING: Duration = Duration::from_millis(200);
-/// The pause while no bound is set, or no configuration needs keys.
+/// The pause while no bound is set.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// What lets a request with a key go on.
+/// The authorization of a request by its key.
 #[derive(Clone, Debug)]
 pub struct Authorization {
     pub(crate) workspace: SmolStr,
@@ -33,16 +33,16 @@
     key: KeyDigest,
 }
 
-/// Why a request may not go on.
+/// Why a request isn't authorized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyError {
-    /// It has no key, or one that no workspace has.
+    /// The request has no key, or one that belongs to no workspace.
     Unknown,
-    /// Whether its key counts can't be told now.
+    /// The validity of the request's key can't be confirmed at present.
     Unconfirmed,
 }
 
-/// Lets a request go on by its key; gives no pass where it needs none.
+/// Authorizes a request by its key. Returns `None` if the rule needs no key.
 pub(crate) fn authorize<P>(
     site: &Site<P>,
     catalog: &Catalog,
@@ -64,7 +64,7 @@
     });
     match found {
         Some(p) => Ok(Some(p)),
-        // Another VM has read further: the key may be a new one.
+        // Another VM has read a newer configuration, which may contain the key.
         None if site.view().is_behind(Feed::Configuration) => Err(KeyError::Unconfirmed),
         None => Err(KeyError::Unknown),
     }
@@ -78,8 +78,8 @@
     }
 }
 
-/// Tells whether a pass still holds: its key counts, and is the same workspace's. Between a request's arrival and its sending
-/// lie a wait for a place and a new connection.
+/// Returns `true` if an authorization is still valid: its key is valid and belongs to the same workspace. Between a request's
+/// arrival and its send there may be a wait for an endpoint and for a new connection.
 pub(crate) fn is_valid<P>(site: &Site<P>, p: &Authorization) -> bool
 where
     P: Protocol,
@@ -89,14 +89,14 @@
     site.keys_are_valid() && found.is_some_and(|w| w.name == p.workspace)
 }
 
-/// Says how fresh this VM's configuration is, to another VM.
+/// Answers another VM's query for the age of this VM's configuration.
 pub(crate) fn confirmation<P>(site: &Site<P>) -> Reply
 where
     P: Protocol,
 {
     let view = site.view();
     let age = view.confirmation.age(site.now());
-    // Rounded up, so that nobody takes it for fresher than it is.
+    // Rounded up, so that the other VM doesn't take the configuration for fresher than it is.
     let ms = |d: Duration| u32::try_from(d.as_millis() + 1).unwrap_or(u32::MAX);
     Reply::Configuration {
         position: view.positions.configuration,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Keeps the configuration confirmed for as long as the process lives.
+/// Keeps the configuration confirmed until the process ends.
 pub async fn confirm<P>(site: Arc<Site<P>>)
 where
     P: Protocol,
@@ -115,39 +115,40 @@
             sleep(IDLE).await;
             continue;
         };
-        for i in 0..ASKED_IN_A_ROW {
+        for i in 0..MAX_QUERIES_IN_A_ROW {
             if is_fresh(&site, bound.ask_every()) {
                 break;
             }
-            let Some(to) = whom_to_ask(&site, i) else {
+            let Some(to) = next_vm(&site, i) else {
                 break;
             };
-            ask(&site, to).await;
+            query(&site, to).await;
         }
         let pause = if site.keys_are_valid() {
             bound.ask_every()
         } else {
             PAUSE_WHILE_REFUSING.min(bound.ask_every())
         };
-        // At random, so that not all VMs ask the same one at once.
+        // Jitter, so that not all VMs query the same one at once.
         sleep(pause.mul_f64(0.8 + 0.2 * rand::random::<f64>())).await;
     }
 }
 
-/// Tells whether the configuration was known to be the newest not much longer ago than between two questions.
-fn is_fresh<P>(site: &Site<P>, step: Duration) -> bool
+/// Returns `true` if the last confirmation isn't much older than the interval between two queries.
+fn is_fresh<P>(site: &Site<P>, interval: Duration) -> bool
 where
     P: Protocol,
 {
     let age = site.view().confirmation.age(site.now());
-    age.is_some_and(|a| a < step.mul_f64(1.5))
+    age.is_some_and(|a| a < interval.mul_f64(1.5))
 }
 
-/// Gives the VM that reads for the zone first, then the one of the whole site that is heard to have read last, then others at
-/// random.
+/// Returns the VM to query next: the one that reads the store for this zone, then the one of the whole site that is known to
+/// have read last, then others at random.
 ///
-/// Where one VM of a site reaches the store, few others have its word at any moment: drawn at random they are missed.
-fn whom_to_ask<P>(site: &Site<P>, asked: usize) -> Option<SocketAddr>
+/// If only one VM of a site reaches the store, few others have its confirmation at any moment, so a random choice alone
+/// would miss them.
+fn next_vm<P>(site: &Site<P>, queried: usize) -> Option<SocketAddr>
 where
     P: Protocol,
 {
@@ -155,21 +156,21 @@
     let here = view.peers.zone_reader(site.now());
     let last = view.confirmation.reader().map(|(vm, _)| vm);
     let last = last.filter(|vm| here != Some(vm));
-    let mut named = here.into_iter().chain(last);
-    match named.nth(asked) {
+    let mut preferred = here.into_iter().chain(last);
+    match preferred.nth(queried) {
         Some(name) => view.peers.address(name),
         None => view.peers.nth_address(rand::random::<u32>() as usize),
     }
 }
 
-async fn ask<P>(site: &Site<P>, to: SocketAddr)
+async fn query<P>(site: &Site<P>, to: SocketAddr)
 where
     P: Protocol,
 {
     let asked = site.now();
     let reply = site
         .queries
-        .ask(&site.clock, to, QueryBody::Configuration, ANSWER_WITHIN)
+        .ask(&site.clock, to, QueryBody::Configuration, QUERY_TIMEOUT)
         .await;
     let Some(Reply::Configuration {
         position,
@@ -181,14 +182,14 @@
     };
     let mut view = site.view();
     view.update_vm_count(site.now(), usize::from(vms_known));
-    let mine = view.positions.configuration;
+    let own = view.positions.configuration;
     let at = confirmed_ms.and_then(|ms| confirmed_at(asked, ms));
-    if let Some(at) = at.filter(|_| !mine.is_start() && mine.covers(position)) {
+    if let Some(at) = at.filter(|_| !own.is_start() && own.covers(position)) {
         view.confirmation.confirm(at);
     }
 }
 
-/// Gives the moment at which another VM's configuration was the newest, counted back from the question.
+/// Returns the time at which another VM's configuration was the newest, counted back from the time of the query.
 fn confirmed_at(asked: Instant, ms: u32) -> Option<Instant> {
     asked.checked_sub(Duration::from_millis(u64::from(ms)))
 }
