--- a/crates/limehollow-node/src/pool.rs
+++ b/crates/limehollow-node/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: one request at a time on each, kept as long as the endpoint keeps them.
+//! A pool of connections to endpoints. Each carries one request at a time and is kept as long as the endpoint keeps it open.
 
 use crate::clock::Clock;
 use bytes::Bytes;
@@ -20,52 +20,52 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// How long a new connection may take: some dozen times the way there and back within a region, and half of the tightest
-/// objective, so that a second endpoint can still answer in time.
+/// The timeout for opening a connection: some dozen round trips within a region, and half of the shortest objective, so that
+/// a second endpoint can still answer in time.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// After how long unacknowledged bytes mean that the way is cut: well above a lost packet's
-/// retransmission, well below what callers wait.
+/// How long bytes may stay unacknowledged before the connection is considered cut: well above the retransmission of a lost
+/// packet, well below callers' timeouts.
 const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a connection without traffic goes unprobed, and the time between probes. Two probes without
-/// an answer end it.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// The idle time before the first keep-alive probe, and the interval between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of unanswered probes that end a connection.
 const PROBES: u32 = 2;
-/// How long a connection is kept when the endpoint doesn't say.
-const DEFAULT_KEEP: Duration = Duration::from_secs(3);
-/// How much before the endpoint's own time a connection is given up, so that no request crosses the
-/// endpoint's close.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+/// The keep-alive timeout of an endpoint that doesn't state one.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(3);
+/// How long before the endpoint's keep-alive timeout a connection is dropped, so that no request is sent while the endpoint
+/// closes the connection.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// The most bytes of a refusal's body that are read to keep its connection.
-const MAX_REST: usize = 4096;
+/// The maximum size of a refusal's body that is drained to reuse its connection, in bytes.
+const MAX_DRAIN_BYTES: usize = 4096;
 
-/// Why there is no connection.
+/// Why a connection can't be opened.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The endpoint refused, or can't be reached.
+    /// The endpoint refused the connection or can't be reached.
     #[snafu(display("{source}"))]
     Io {
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// It did not answer in time.
+    /// The connection was not established in time.
     #[snafu(display("no answer within {} ms", CONNECT_TIMEOUT.as_millis()))]
     Silent,
-    /// The HTTP library refused.
+    /// The HTTP handshake failed.
     #[snafu(display("{source}"))]
     Http {
-        /// What it said.
+        /// The error of hyper.
         source: hyper::Error,
     },
 }
 
-/// A connection that serves one request.
+/// A connection to an endpoint that carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     key: EndpointKey,
-    /// Where requests go in.
+    /// The sender of requests on this connection.
     pub sender: SendRequest<Full<Bytes>>,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 #[derive(Debug)]
@@ -74,7 +74,7 @@
     since: Instant,
 }
 
-/// The connections at rest.
+/// The idle connections.
 #[derive(Clone, Debug)]
 pub struct Pool {
     clock: Arc<Clock>,
@@ -82,14 +82,17 @@
 }
 
 impl Connection {
-    /// Notes how long the endpoint keeps the connection open, by its answer; zero if it closes it.
-    pub fn set_keep_alive(&mut self, keep: Option<Duration>) {
-        self.keep = keep.unwrap_or(DEFAULT_KEEP).saturating_sub(KEEP_MARGIN);
+    /// Sets how long the endpoint keeps the connection open, by its answer: zero if it closes the connection, `None` if the
+    /// answer doesn't say.
+    pub fn set_keep_alive(&mut self, timeout: Option<Duration>) {
+        self.keep_alive = timeout
+            .unwrap_or(DEFAULT_KEEP_ALIVE)
+            .saturating_sub(KEEP_ALIVE_MARGIN);
     }
 }
 
 impl Pool {
-    /// Makes a pool that has no connection, and reckons by this clock how long they rest.
+    /// Creates an empty pool, which measures idle times by this clock.
     #[must_use]
     pub fn new(clock: Arc<Clock>) -> Self {
         Self {
@@ -98,14 +101,14 @@
         }
     }
 
-    /// Takes the connection that was used last, or none.
+    /// Takes the most recently used connection to an endpoint that is still usable, if any.
     #[must_use]
     pub fn take(&self, key: EndpointKey) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.lock();
         let found = idle.get_mut(&key)?;
         while let Some(i) = found.pop() {
-            let fresh = now.duration_since(i.since) < i.connection.keep;
+            let fresh = now.duration_since(i.since) < i.connection.keep_alive;
             if fresh && i.connection.sender.is_ready() {
                 return Some(i.connection);
             }
@@ -117,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectError`]; no byte of a request has left.
+    /// Returns a [`ConnectError`]; no byte of a request has been sent then.
     pub async fn open(
         &self,
         key: EndpointKey,
@@ -127,23 +130,27 @@
             return SilentSnafu.fail();
         };
         let stream = connected.context(IoSnafu)?;
-        tune(&stream).context(IoSnafu)?;
+        set_options(&stream).context(IoSnafu)?;
         let (sender, driver) = http1::handshake(TokioIo::new(ResetOnDrop(stream)))
             .await
             .context(HttpSnafu)?;
         tokio::spawn(async move {
-            // What ends the connection shows at the request that it serves; at rest it is of no matter.
+            // An error of the connection also fails the request that it carries, if any; on an idle connection it is harmless.
             if let Err(e) = driver.await {
                 tracing::debug!(%address, error = %e, "connection to an endpoint ended");
             }
         });
-        let keep = DEFAULT_KEEP.saturating_sub(KEEP_MARGIN);
-        Ok(Connection { key, sender, keep })
+        let keep_alive = DEFAULT_KEEP_ALIVE.saturating_sub(KEEP_ALIVE_MARGIN);
+        Ok(Connection {
+            key,
+            sender,
+            keep_alive,
+        })
     }
 
-    /// Puts a connection back once it can take another request.
+    /// Returns a connection to the pool once it can carry another request.
     pub async fn put(&self, mut c: Connection) {
-        if c.keep.is_zero() || c.sender.ready().await.is_err() {
+        if c.keep_alive.is_zero() || c.sender.ready().await.is_err() {
             return;
         }
         let since = self.clock.now();
@@ -154,11 +161,11 @@
         });
     }
 
-    /// Puts a connection back in a task of its own, once the rest of an answer that nobody needs is read.
+    /// Returns a connection to the pool from a task of its own, after draining the rest of an answer that isn't needed.
     pub fn put_in_background(&self, c: Connection, rest: Option<Incoming>) {
         let pool = self.clone();
         tokio::spawn(async move {
-            let limited = rest.map(|b| Limited::new(b, MAX_REST));
+            let limited = rest.map(|b| Limited::new(b, MAX_DRAIN_BYTES));
             if let Some(rest) = limited
                 && rest.collect().await.is_err()
             {
@@ -168,8 +175,8 @@
         });
     }
 
-    /// Closes what has rested too long, and all connections of endpoints that are gone.
-    pub fn sweep<F>(&self, is_there: F)
+    /// Closes connections that were idle for too long, and all connections to endpoints that are gone.
+    pub fn sweep<F>(&self, is_listed: F)
     where
         F: Fn(EndpointKey) -> bool,
     {
@@ -177,11 +184,11 @@
         let mut idle = self.lock();
         for found in idle.values_mut() {
             found.retain(|i| {
-                let fresh = now.duration_since(i.since) < i.connection.keep;
+                let fresh = now.duration_since(i.since) < i.connection.keep_alive;
                 fresh && !i.connection.sender.is_closed()
             });
         }
-        idle.retain(|k, found| !found.is_empty() && is_there(*k));
+        idle.retain(|k, found| !found.is_empty() && is_listed(*k));
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<EndpointKey, Vec<Idle>>> {
@@ -189,8 +196,8 @@
     }
 }
 
-/// A stream that isn't closed in order but reset when it is dropped ([`tune`] has it so): a close would
-/// have the system send on what it still holds.
+/// A stream that is reset when it is dropped, instead of being closed in order ([`set_options`] sets the linger time to
+/// zero): after a close the system would still send the bytes that it has buffered.
 struct ResetOnDrop(TcpStream);
 
 impl AsyncRead for ResetOnDrop {
@@ -233,16 +240,16 @@
     }
 }
 
-/// Makes a cut connection show within seconds, and drops what a cut holds up when it is given up: a
-/// request, or an order, that was given up must not arrive after the cut.
-fn tune(stream: &TcpStream) -> io::Result<()> {
+/// Sets socket options so that a cut connection is detected within seconds, and so that bytes held up by a cut are dropped
+/// with the connection: a request or an order that was given up must not arrive once the cut is over.
+fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO))?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
         .with_retries(PROBES);
     socket.set_tcp_keepalive(&probes)
 }
