--- a/crates/limehollow-node/src/header_policy.rs
+++ b/crates/limehollow-node/src/header_policy.rs
@@ -1,14 +1,13 @@
-//! Which headers go through the gateway.
+//! Removes the headers that the gateway doesn't forward.
 //!
-//! What a caller may say to an endpoint, and an endpoint to a caller, is the protocol's to know
-//! ([`HeaderPolicy`]); what concerns one connection only is the same for every protocol over HTTP.
+//! Which headers a caller may send to an endpoint, and an endpoint to a caller, is up to the protocol ([`HeaderPolicy`]).
+//! Hop-by-hop headers are the same for every protocol over HTTP.
 
 use crate::edge::HeaderPolicy;
 use http::header::{self, HeaderMap, HeaderName};
 
-/// The headers that concern one connection only (RFC 9110, section 7.6.1), and those that the HTTP library
-/// writes itself for the message that it sends.
-const ONE_CONNECTION: [HeaderName; 9] = [
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and those that hyper writes itself for the message that it sends.
+const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::CONTENT_LENGTH,
@@ -20,10 +19,10 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Takes out what doesn't go on to the other side.
+/// Removes the headers that aren't forwarded to the other side.
 ///
-/// What `Connection` names is taken out as well, unless the protocol keeps it: a caller that names the model
-/// there would otherwise have another model's answer.
+/// Headers that `Connection` names are removed as well, unless the protocol requires them: otherwise a caller that names the
+/// model's header there would get another model's answer.
 pub fn clean<F>(headers: &mut HeaderMap, policy: F)
 where
     F: Fn(&HeaderName) -> HeaderPolicy,
@@ -33,23 +32,23 @@
             headers.remove(name);
         }
     }
-    for name in ONE_CONNECTION {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
-    let ours = headers
+    let reserved = headers
         .keys()
         .filter(|n| policy(n) == HeaderPolicy::Reserved);
-    let ours: Vec<HeaderName> = ours.cloned().collect();
-    for name in ours {
+    let reserved: Vec<HeaderName> = reserved.cloned().collect();
+    for name in reserved {
         headers.remove(name);
     }
 }
 
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(header::CONNECTION).iter();
-    let words = values
+    let tokens = values
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','));
-    // What is no header's name names none.
-    words.filter_map(|w| w.trim().parse().ok()).collect()
+    // A token that isn't a valid header name can't name a header.
+    tokens.filter_map(|w| w.trim().parse().ok()).collect()
 }
