--- a/crates/limehollow-node/src/endpoint_signals.rs
+++ b/crates/limehollow-node/src/endpoint_signals.rs
@@ -1,6 +1,6 @@
-//! Takes in what endpoints say in their answers of what they want to be sent.
+//! Applies the load signals that endpoints send in their answers: rate limits, backoff, cold starts and leaving.
 //!
-//! Every answer is heard, whatever it answers: a caller's request, a report or an order.
+//! The signals of every answer apply, whether it answers a caller's request, a report or an order.
 
 use crate::attempt::Target;
 use crate::edge::Protocol;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long another VM's message may have been on its way, in a queue too: as long as what VMs say counts.
-const MOST_ON_THE_WAY: Duration = MESSAGE_LIFE;
+/// The maximum transit time of another VM's message, including queues: as long as messages are valid.
+const MAX_TRANSIT: Duration = MESSAGE_LIFE;
 
-/// Takes in what an answer says, to a request that was sent at `asked`.
+/// Applies the signals of an answer to a request that was sent at `asked`.
 pub fn apply<P>(site: &Site<P>, to: &Target, asked: Instant, s: Signals)
 where
     P: Protocol,
@@ -23,31 +23,31 @@
     let now = site.now();
     let mut view = site.view();
     if view.roster.get(to.key).is_none() {
-        // Its start is gone, and with it all that was believed of it.
+        // The instance is gone, and with it all that is known about it.
         return;
     }
-    let heard = view.balance.backpressure.observe(now, to.key, asked, s);
-    if heard.rate != RateChange::Unchanged {
+    let change = view.balance.backpressure.observe(now, to.key, asked, s);
+    if change.rate != RateChange::Unchanged {
         view.set_limit(now, to.key);
     }
     if let Some(left) = s.cold {
         view.record_cold(now, to.key, left);
     }
-    let leaves = s.leaving && view.record_leaving(now, &to.instance);
+    let starts_leaving = s.leaving && view.record_leaving(now, &to.instance);
     drop(view);
-    log_rate(&to.instance, heard.rate, "the endpoint");
-    if let Some(rest) = heard.backoff {
+    log_rate(&to.instance, change.rate, "the endpoint");
+    if let Some(rest) = change.backoff {
         site.metrics.rests.inc();
         tracing::info!(endpoint = %to.instance, rest_ms = rest.as_millis(), "an endpoint asks this VM for rest");
     }
-    if leaves {
-        note_leaving(site, &to.instance, "the endpoint");
-        // The other VMs may send to it meanwhile.
+    if starts_leaving {
+        announce_leaving(site, &to.instance, "the endpoint");
+        // The next message is sent at once, as the other VMs may send requests to the endpoint meanwhile.
         site.urgent_update.notify_one();
     }
 }
 
-/// Takes in what another VM says of the limits that endpoints name.
+/// Applies the rate limits of endpoints that another VM reports.
 pub(crate) fn apply_rates<P>(site: &Site<P>, by: &str, rates: &[RateSaid])
 where
     P: Protocol,
@@ -58,7 +58,7 @@
         let Some(key) = view.roster.find(&r.instance) else {
             continue;
         };
-        let word = r.told(now, MOST_ON_THE_WAY);
+        let word = r.told(now, MAX_TRANSIT);
         let change = view.balance.backpressure.merge(now, key, word);
         if change != RateChange::Unchanged {
             view.set_limit(now, key);
@@ -67,21 +67,21 @@
     }
 }
 
-/// Takes in which endpoints said to other VMs that they leave.
+/// Applies another VM's report of endpoints that signalled that they leave.
 pub(crate) fn apply_leaving<P>(site: &Site<P>, by: &str, leaving: &[Instance])
 where
     P: Protocol,
 {
     let now = site.now();
     for instance in leaving {
-        let is_news = site.view().record_leaving(now, instance);
-        if is_news {
-            note_leaving(site, instance, by);
+        let is_new = site.view().record_leaving(now, instance);
+        if is_new {
+            announce_leaving(site, instance, by);
         }
     }
 }
 
-fn note_leaving<P>(site: &Site<P>, endpoint: &Instance, by: &str)
+fn announce_leaving<P>(site: &Site<P>, endpoint: &Instance, by: &str)
 where
     P: Protocol,
 {
@@ -90,7 +90,7 @@
     site.endpoints_changed.notify_waiters();
 }
 
-/// Says what changed of an endpoint's limit, and by whose word.
+/// Logs a change of an endpoint's limit and its source.
 fn log_rate(endpoint: &Instance, change: RateChange, by: &str) {
     match change {
         RateChange::Limited(rate) => {
