--- a/crates/limehollow-node/src/crash_probe.rs
+++ b/crates/limehollow-node/src/crash_probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an endpoint has crashed, after a connection to it has ended under a request.
+//! Probes whether an endpoint has crashed, after a connection to it ended while a request was running.
 
 use crate::attempt::{LimitGrant, Target};
 use crate::edge::Protocol;
@@ -14,22 +14,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long after the end of a connection another one is tried: the ends of its other connections and of its listening arrive
-/// at about the same time.
-const ASKED_AFTER: Duration = Duration::from_millis(5);
-/// How often a connection is tried, and the time between: an endpoint may have no place for one, or be silent for a moment. After
-/// that, and where somebody listens, its entry on the platform's list decides.
-const ASKS: u32 = 3;
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a request waits at most, before it is sent to another endpoint, until it is known whether the first one has crashed:
-/// the way there and back many times, and a tenth of the tightest objective.
-const SETTLED_WITHIN: Duration = Duration::from_millis(100);
+/// The delay between the end of a connection and the first probe: when an endpoint crashes, the ends of its other connections
+/// and of its listening socket are seen at about the same time.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(5);
+/// The maximum number of probes: an endpoint may have no capacity for a connection, or not respond for a moment. After these,
+/// and if a process listens, its entry on the platform's list decides.
+const PROBES: u32 = 3;
+/// The delay between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// The timeout of one probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// The maximum time that a request waits for the result of the probe before it is sent to another endpoint: many round trips,
+/// and a tenth of the shortest objective.
+const MAX_WAIT: Duration = Duration::from_millis(100);
 
-/// Notes that a connection to an endpoint ended under a request, and finds out why.
+/// Records that a connection to an endpoint ended while a request was running, and probes whether the endpoint crashed.
 ///
-/// An endpoint that has said that it leaves may end at any time; that is no crash.
-pub(crate) fn note_cut_off<P>(site: &Arc<Site<P>>, key: EndpointKey, c: CutOff)
+/// An endpoint that has announced that it leaves may exit at any time; that is no crash.
+pub(crate) fn on_cut_off<P>(site: &Arc<Site<P>>, key: EndpointKey, c: CutOff)
 where
     P: Protocol,
 {
@@ -53,31 +55,32 @@
         Suspicion::New if was_replaced => {
             view.record_crash(now, &to.instance);
         }
-        Suspicion::New => drop(tokio::spawn(ask(Arc::clone(site), to))),
+        Suspicion::New => drop(tokio::spawn(probe(Arc::clone(site), to))),
         Suspicion::Pending => {}
         Suspicion::Crashed => view.record_suspect(now, &to.instance, c),
     }
 }
 
-/// What an attempt to connect says.
+/// The result of one attempt to connect.
 enum Finding {
-    /// Somebody listens: the endpoint lives, or what is in front of it does.
+    /// A process listens: the endpoint is alive, or a proxy in front of it is.
     Listens,
-    /// Nobody listens at the endpoint's address.
+    /// No process listens at the endpoint's address.
     HasCrashed,
+    /// There was no answer in time, or another error.
     Unclear,
 }
 
-/// Connects to an endpoint, until it is clear whether anybody listens there.
-async fn ask<P>(site: Arc<Site<P>>, to: Target)
+/// Tries to connect to an endpoint until it is clear whether a process listens there.
+async fn probe<P>(site: Arc<Site<P>>, to: Target)
 where
     P: Protocol,
 {
-    let mut pause = ASKED_AFTER;
-    for _ in 0..ASKS {
+    let mut pause = FIRST_PROBE_DELAY;
+    for _ in 0..PROBES {
         sleep(pause).await;
-        pause = ASK_AGAIN;
-        match ask_once(to.address).await {
+        pause = PROBE_INTERVAL;
+        match probe_once(to.address).await {
             Finding::Listens => break,
             Finding::HasCrashed => {
                 site.record_crash(&to.instance);
@@ -90,20 +93,20 @@
     site.crash_known.notify_waiters();
 }
 
-async fn ask_once(address: SocketAddr) -> Finding {
-    match timeout(ASK_TIMEOUT, TcpStream::connect(address)).await {
+async fn probe_once(address: SocketAddr) -> Finding {
+    match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_connected)) => Finding::Listens,
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => Finding::HasCrashed,
         Ok(Err(_)) | Err(_) => Finding::Unclear,
     }
 }
 
-/// Waits a little until it is known whether a start of an endpoint has crashed.
-pub(crate) async fn settled<P>(site: &Site<P>, instance: &Instance)
+/// Waits until it is known whether an instance of an endpoint has crashed, at most for [`MAX_WAIT`].
+pub(crate) async fn wait_for_result<P>(site: &Site<P>, instance: &Instance)
 where
     P: Protocol,
 {
-    let told = async {
+    let probed = async {
         loop {
             let crash_known = site.crash_known.notified();
             if !site.view().crash_watch.is_probing(instance) {
@@ -112,6 +115,6 @@
             crash_known.await;
         }
     };
-    // Unknown after this time, the request goes on as after any connection that ended.
-    let _timed_out = timeout(SETTLED_WITHIN, told).await;
+    // After the timeout the request is retried as after any connection that ended.
+    let _timed_out = timeout(MAX_WAIT, probed).await;
 }
--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -125,7 +125,7 @@
                 return self.give_up(reason, self.retry_delay(&failed));
             }
             if failed.evidence == EndpointEvidence::ConnectionEnded {
-                crash_probe::settled(self.site, &chosen.to.instance).await;
+                crash_probe::wait_for_result(self.site, &chosen.to.instance).await;
             }
         }
     }
--- a/crates/limehollow-node/src/relay.rs
+++ b/crates/limehollow-node/src/relay.rs
@@ -122,7 +122,7 @@
             origin: self.origin,
             timing: Timing::of(since_first),
         };
-        crash_probe::note_cut_off(&self.site, sent.endpoint(), c);
+        crash_probe::on_cut_off(&self.site, sent.endpoint(), c);
     }
 
     /// Records that the endpoint ran the request to its end, which shows that the request doesn't crash endpoints.
