--- a/crates/limehollow-node/src/quarantine_sync.rs
+++ b/crates/limehollow-node/src/quarantine_sync.rs
@@ -1,8 +1,8 @@
-//! Requests that crash endpoints, as all VMs and the platform's store come to know the same of them.
+//! Synchronizes the records of requests that crash endpoints between all VMs and the platform's store.
 //!
-//! Records go round with the VMs' messages when they change. Who missed those (it has just started, or was cut off) sees by
-//! the digest in others' messages that they know other records, and asks one of them for all. What is quarantined is also
-//! kept in the platform's store, for when all VMs are started anew at once.
+//! Changed records are sent with the VMs' messages. A VM that missed some (it has just started, or was cut off) sees by the
+//! digest in other VMs' messages that they have other records, and fetches all records from one of them. Records of
+//! quarantined requests are also stored in the platform's store, in case all VMs restart at once.
 
 use crate::edge::{PeerStates, Protocol, Store};
 use crate::sender::pace;
@@ -17,23 +17,27 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long two VMs may differ before one asks the other, in messages of a VM and at most: what has just changed is still on its
-/// way in messages. It is drawn anew each time up to twice this, so that not all VMs of a zone ask the same one at once.
-const DIFFERS_FOR_MESSAGES: f64 = 2.5;
-const DIFFERS_FOR: Duration = Duration::from_millis(300);
-/// How long nothing may have changed before a VM asks: in a burst of crashes messages bring most of it.
-const RESTS_FOR: Duration = Duration::from_millis(300);
-/// The time between two questions, and how much longer it is for each record that came: a record takes 32 bytes, and half of
-/// the 12 kB a second that a VM may take for what it tells others is left for these.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+/// How long the digests of two VMs may differ before one fetches the other's records, in message intervals: a recent change
+/// is still in transit in messages. The actual time is drawn at random between this and twice this, so that not all VMs of a
+/// zone fetch from the same one at once.
+const FETCH_DELAY_MESSAGES: f64 = 2.5;
+/// The upper bound of that time, before the random part.
+const MAX_FETCH_DELAY: Duration = Duration::from_millis(300);
+/// How long the records have to be unchanged before a VM fetches: in a burst of crashes messages deliver most records.
+const QUIET_FOR: Duration = Duration::from_millis(300);
+/// The pause between two fetches.
+const FETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause after a fetch for each record that it returned: a record takes 32 bytes, and half of the 12 kB a second that a VM
+/// may use for sending to other VMs is left for fetches.
 const PAUSE_PER_RECORD: Duration = Duration::from_millis(5);
-/// The time between tries to reach the store, at first and at most.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
-/// How often a VM reads the store that hears no other VM: the store is all that tells it then.
-const READ_ALONE_EVERY: Duration = Duration::from_secs(1);
+/// The delay before the first retry of a call to the store.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// The maximum delay between retries of a call to the store.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
+/// How often a VM that receives messages from no other VM reads the store, which is then its only source of records.
+const ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks other VMs for what this one doesn't know, for as long as the process lives.
+/// Fetches records that this VM lacks from other VMs, until the process ends.
 pub async fn sync_with_peers<P, S>(site: Arc<Site<P>>, states: S)
 where
     P: Protocol,
@@ -41,66 +45,67 @@
 {
     loop {
         site.quarantine_differs.notified().await;
-        if !has_nothing(&site) {
-            come_to_rest(&site).await;
+        if !has_no_records(&site) {
+            wait_until_quiet(&site).await;
         }
-        while let Some((vm, said)) = differing(&site) {
-            let came = ask(&site, &states, &vm, said).await;
-            sleep(ASK_EVERY.max(PAUSE_PER_RECORD.saturating_mul(came))).await;
+        while let Some((vm, reported)) = differing(&site) {
+            let fetched = fetch(&site, &states, &vm, reported).await;
+            sleep(FETCH_INTERVAL.max(PAUSE_PER_RECORD.saturating_mul(fetched))).await;
         }
     }
 }
 
-/// Waits until what has just changed here, or at others, had time to arrive in messages.
-async fn come_to_rest<P>(site: &Site<P>)
+/// Waits until recent changes of this VM or of others had time to arrive in messages.
+async fn wait_until_quiet<P>(site: &Site<P>)
 where
     P: Protocol,
 {
     let neighbours = site.view().peers.neighbours().len();
-    let differs_for = pace(neighbours)
-        .mul_f64(DIFFERS_FOR_MESSAGES)
-        .min(DIFFERS_FOR);
+    let delay = pace(neighbours)
+        .mul_f64(FETCH_DELAY_MESSAGES)
+        .min(MAX_FETCH_DELAY);
     loop {
-        sleep(differs_for.mul_f64(1.0 + rand::random::<f64>())).await;
-        let rests = site.view().quarantine.unchanged_for(site.now());
-        if rests.is_none_or(|t| t >= RESTS_FOR) {
+        sleep(delay.mul_f64(1.0 + rand::random::<f64>())).await;
+        let unchanged = site.view().quarantine.unchanged_for(site.now());
+        if unchanged.is_none_or(|t| t >= QUIET_FOR) {
             return;
         }
     }
 }
 
-/// Asks another VM for all that it knows. Gives how many records came.
-async fn ask<P, S>(site: &Site<P>, states: &S, vm: &str, said: ReportedDigest) -> u32
+/// Fetches all records of another VM. Returns how many there are.
+async fn fetch<P, S>(site: &Site<P>, states: &S, vm: &str, reported: ReportedDigest) -> u32
 where
     P: Protocol,
     S: PeerStates,
 {
-    match states.fetch_crashes(said.address).await {
+    match states.fetch_crashes(reported.address).await {
         Ok(records) => {
-            take_in(site, vm, &records);
-            // Not what it said before: it may have started again since, and know nothing.
+            merge(site, vm, &records);
+            // The digest is computed from the answer and not taken from the VM's last message: the VM may have restarted
+            // since, and have no records.
             let answered = digest(site.now(), &records);
             site.view().quarantine.mark_contained(answered);
             u32::try_from(records.len()).unwrap_or(u32::MAX)
         }
         Err(why) => {
-            tracing::debug!(%vm, why, "no records of crashing requests");
+            tracing::debug!(%vm, why, "can't fetch the records of crashing requests");
             0
         }
     }
 }
 
-/// Gives the digest of all that a VM knows whose records these are.
+/// Returns the digest of a VM that has exactly these records.
 fn digest(now: Instant, records: &[CrashRecord]) -> u64 {
-    let mut theirs = Quarantine::default();
+    let mut quarantine = Quarantine::default();
     for r in records {
-        theirs.merge(now, r);
+        quarantine.merge(now, r);
     }
-    theirs.digest()
+    quarantine.digest()
 }
 
-/// Tells whether this VM knows nothing yet: it may just have started.
-fn has_nothing<P>(site: &Site<P>) -> bool
+/// Returns `true` if this VM has no records yet, as after its start.
+fn has_no_records<P>(site: &Site<P>) -> bool
 where
     P: Protocol,
 {
@@ -108,51 +113,52 @@
     view.quarantine.unchanged_for(site.now()).is_none()
 }
 
-/// What another VM said last of the records that it has.
+/// The digest of its records that another VM reported last.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedDigest {
-    /// When it was heard.
+    /// When the report was received.
     pub at: Instant,
-    /// Their digest.
+    /// The digest of the VM's records.
     pub digest: u64,
-    /// Where they can be asked for.
+    /// The address from which the records can be fetched.
     pub address: SocketAddr,
 }
 
-/// Gives a VM that knows other records by what it has said since something changed here: what it said before may be outdated.
+/// Returns a random VM whose reported digest shows records that this VM lacks. Only digests that were received since this VM's
+/// records last changed are considered, as earlier ones may be outdated.
 fn differing<P>(site: &Site<P>) -> Option<(SmolStr, ReportedDigest)>
 where
     P: Protocol,
 {
     let now = site.now();
     let view = site.view();
-    let heard = view.quarantines.iter();
-    let heard = heard.filter(|(_, s)| now.duration_since(s.at) < MESSAGE_LIFE);
+    let recent = view.quarantines.iter();
+    let recent = recent.filter(|(_, s)| now.duration_since(s.at) < MESSAGE_LIFE);
     let unchanged = view.quarantine.unchanged_for(now);
     let is_new = |s: &ReportedDigest| unchanged.is_none_or(|t| now.duration_since(s.at) < t);
-    let others: Vec<_> = heard
+    let others: Vec<_> = recent
         .filter(|(_, s)| is_new(s) && !view.quarantine.contains(s.digest))
         .collect();
     let at = rand::random_range(0..others.len().max(1));
-    let (vm, said) = others.get(at)?;
-    Some(((*vm).clone(), **said))
+    let (vm, reported) = others.get(at)?;
+    Some(((*vm).clone(), **reported))
 }
 
-fn take_in<P>(site: &Site<P>, by: &str, records: &[CrashRecord]) -> bool
+fn merge<P>(site: &Site<P>, by: &str, records: &[CrashRecord]) -> bool
 where
     P: Protocol,
 {
     let now = site.now();
     let mut view = site.view();
-    let mut is_news = false;
+    let mut is_changed = false;
     for r in records {
-        is_news |= view.merge_crashes(now, by, r);
+        is_changed |= view.merge_crashes(now, by, r);
     }
-    is_news
+    is_changed
 }
 
-/// Reads what the store keeps, unless another VM handed its state over, then keeps there what is quarantined or cleared, for as long
-/// as the process lives. What other VMs know is asked of them ([`sync_with_peers`]).
+/// Reads the stored records, unless another VM handed over its state, then stores the records of requests that are
+/// quarantined or cleared, until the process ends. Other VMs' records are fetched by [`sync_with_peers`].
 pub async fn persist<P, S>(site: Arc<Site<P>>, store: S)
 where
     P: Protocol,
@@ -167,9 +173,9 @@
         match next {
             Some(request) => save(&site, &store, request).await,
             None => {
-                // The time-out is the time to look whether this VM is alone.
-                let _timed_out = timeout(READ_ALONE_EVERY, unsaved).await;
-                if is_alone(&site) {
+                // The timeout is the interval at which an isolated VM reads the store.
+                let _timed_out = timeout(ISOLATED_READ_INTERVAL, unsaved).await;
+                if is_isolated(&site) {
                     read_once(&site, &store).await;
                 }
             }
@@ -177,8 +183,8 @@
     }
 }
 
-/// Tells whether this VM knows others and hears none of them.
-fn is_alone<P>(site: &Site<P>) -> bool
+/// Returns `true` if this VM knows other VMs and receives messages from none of them.
+fn is_isolated<P>(site: &Site<P>) -> bool
 where
     P: Protocol,
 {
@@ -191,14 +197,14 @@
     P: Protocol,
     S: Store,
 {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = FIRST_RETRY_DELAY;
     while !read_once(site, store).await {
         sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Reads what the store keeps. Gives whether it answered.
+/// Reads the stored records. Returns `true` if the store answered.
 async fn read_once<P, S>(site: &Site<P>, store: &S) -> bool
 where
     P: Protocol,
@@ -206,19 +212,19 @@
 {
     match store.crash_records().await {
         Ok(records) => {
-            if take_in(site, "the store", &records) {
+            if merge(site, "the store", &records) {
                 tracing::info!(records = records.len(), "quarantined requests read");
             }
             true
         }
         Err(e) => {
-            tracing::debug!(error = %e, "quarantined requests can't be read");
+            tracing::debug!(error = %e, "quarantined requests can't be read from the store");
             false
         }
     }
 }
 
-/// Keeps one request's record in the store, or drops it there if nothing speaks against the request any more.
+/// Stores a request's record, or deletes it if no crash is recorded for the request any more.
 async fn save<P, S>(site: &Site<P>, store: &S, request: Fingerprint)
 where
     P: Protocol,
@@ -229,8 +235,8 @@
     match store.put_crash_record(request, record.as_ref()).await {
         Ok(()) => site.view().quarantine.mark_saved(request),
         Err(e) => {
-            tracing::info!(%request, error = %e, "a quarantined request can't be kept yet");
-            sleep(FIRST_PAUSE).await;
+            tracing::info!(%request, error = %e, "a quarantined request can't be stored; retrying");
+            sleep(FIRST_RETRY_DELAY).await;
         }
     }
 }
