--- a/crates/limehollow-node/src/counting_store.rs
+++ b/crates/limehollow-node/src/counting_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store with its calls counted, by call and outcome: each is paid for, and all VMs share what the store can do.
+//! Counts the calls to the platform's store by call and outcome: each call is paid for, and all VMs share the store's capacity.
 
 use crate::edge::{Changes, Feed, Store, StoreError, Vm};
 use crate::metrics::{Metrics, StoreCallLabels};
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is called, and about what.
+/// The calls, and the records that they concern.
 const CALLS: [(&str, &str); 13] = [
     ("newest", "configuration"),
     ("newest", "endpoints"),
@@ -32,10 +32,10 @@
 const TURNED_AWAY: &str = "turned away";
 const HISTORY_GONE: &str = "history gone";
 const FAILED: &str = "failed";
-/// How a call ends.
+/// The outcomes of a call.
 const OUTCOMES: [&str; 5] = [ANSWERED, NO_ANSWER, TURNED_AWAY, HISTORY_GONE, FAILED];
 
-/// A store whose calls are counted.
+/// A store that counts its calls.
 #[derive(Clone, Debug)]
 pub struct CountingStore<S> {
     store: S,
@@ -46,7 +46,7 @@
 where
     S: Store,
 {
-    /// Counts the calls to a store.
+    /// Wraps a store whose calls are counted in `metrics`.
     #[must_use]
     pub fn new(store: S, metrics: &Metrics) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    fn note<T>(
+    fn count<T>(
         &self,
         call: &'static str,
         about: &'static str,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Gives how often each call ended in each way so far.
+/// Returns how often each call has had each outcome so far.
 pub(crate) fn totals(metrics: &Metrics) -> BTreeMap<String, u64> {
     let mut out = BTreeMap::new();
     for (call, about) in CALLS {
@@ -97,7 +97,7 @@
     out
 }
 
-fn name(feed: Feed) -> &'static str {
+fn label(feed: Feed) -> &'static str {
     match feed {
         Feed::Configuration => "configuration",
         Feed::Endpoints => "endpoints",
@@ -111,7 +111,7 @@
 {
     async fn newest(&self, feed: Feed) -> Result<Changes, StoreError> {
         let res = self.store.newest(feed).await;
-        self.note("newest", name(feed), res)
+        self.count("newest", label(feed), res)
     }
 
     async fn changes(
@@ -122,22 +122,22 @@
     ) -> Result<Changes, StoreError> {
         let call = if wait.is_zero() { "changes" } else { "wait" };
         let res = self.store.changes(feed, from, wait).await;
-        self.note(call, name(feed), res)
+        self.count(call, label(feed), res)
     }
 
     async fn announce(&self, vms: &[Vm]) -> Result<(), StoreError> {
         let res = self.store.announce(vms).await;
-        self.note("append", "vms", res)
+        self.count("append", "vms", res)
     }
 
     async fn join(&self, member: &str, generation: u64) -> Result<GroupAssignment, StoreError> {
         let res = self.store.join(member, generation).await;
-        self.note("join", "lease", res)
+        self.count("join", "lease", res)
     }
 
     async fn crash_records(&self) -> Result<Vec<CrashRecord>, StoreError> {
         let res = self.store.crash_records().await;
-        self.note("newest", "crashes", res)
+        self.count("newest", "crashes", res)
     }
 
     async fn put_crash_record(
@@ -146,11 +146,11 @@
         record: Option<&CrashRecord>,
     ) -> Result<(), StoreError> {
         let res = self.store.put_crash_record(request, record).await;
-        self.note("append", "crashes", res)
+        self.count("append", "crashes", res)
     }
 
     async fn leave(&self, member: &str) -> Result<(), StoreError> {
         let res = self.store.leave(member).await;
-        self.note("leave", "lease", res)
+        self.count("leave", "lease", res)
     }
 }
--- a/crates/limehollow-node/src/operator.rs
+++ b/crates/limehollow-node/src/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator can tell one process at its administration port, beside what it shows there.
+//! The operations that an operator can perform at the administration port of a process.
 
 use crate::edge::Protocol;
 use crate::site::Site;
@@ -8,7 +8,7 @@
 use poem::{IntoEndpoint, Request, Route, delete};
 use std::sync::Arc;
 
-/// Gives the routes: `DELETE /quarantine/REQUEST` clears a request on all VMs.
+/// Returns the routes: `DELETE /quarantine/REQUEST` removes a request from quarantine on all VMs.
 #[must_use]
 pub fn routes<P>(site: &Arc<Site<P>>) -> Route
 where
@@ -23,8 +23,8 @@
 where
     P: Protocol,
 {
-    let named = req.path_params::<String>().unwrap_or_default();
-    match named.parse::<Fingerprint>() {
+    let request = req.path_params::<String>().unwrap_or_default();
+    match request.parse::<Fingerprint>() {
         Ok(f) if site.clear_request(f, "an operator") => (StatusCode::OK, "cleared\n".to_owned()),
         Ok(f) => (
             StatusCode::NOT_FOUND,
--- a/crates/limehollow-node/src/small_server.rs
+++ b/crates/limehollow-node/src/small_server.rs
@@ -1,4 +1,4 @@
-//! A server of few questions, told apart by their path: whether this VM is ready, or what it has read.
+//! A minimal HTTP server whose answers depend only on the path; it serves readiness checks and this VM's state.
 
 use bytes::Bytes;
 use http::{Request, Response};
@@ -13,11 +13,10 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// The pause after a connection could not be accepted, for want of descriptors.
+/// The pause after a connection could not be accepted, as when the process has run out of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers what is asked until the process ends. `who` asks, for log lines; a connection may rest for
-/// `idle`.
+/// Serves requests until the process ends. `who` names the clients in log lines; `idle` is the idle timeout of a connection.
 pub(crate) async fn serve<F>(listener: TcpListener, who: &'static str, idle: Duration, answer: F)
 where
     F: Fn(&str) -> Response<Full<Bytes>> + Send + Sync + 'static,
