--- a/crates/limehollow-node/src/metrics.rs
+++ b/crates/limehollow-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the process.
+//! The process's Prometheus metrics.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -10,44 +10,44 @@
 /// The label of an outcome or a reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EventLabels {
-    /// What is counted, as a word.
+    /// The outcome, the reason or the feed, depending on the metric.
     pub what: &'static str,
 }
 
-/// The label of a call to the platform's store.
+/// The labels of a call to the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreCallLabels {
-    /// What is done.
+    /// The name of the call.
     pub call: &'static str,
-    /// With what.
+    /// The records that the call concerns.
     pub about: &'static str,
-    /// How it ended.
+    /// The outcome of the call.
     pub outcome: &'static str,
 }
 
-/// The label of datagrams between VMs.
+/// The labels of datagrams between VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DatagramLabels {
-    /// What they say.
+    /// The kind of the datagrams.
     pub kind: &'static str,
-    /// Whether they are sent or received.
+    /// Whether the datagrams are sent or received.
     pub way: &'static str,
 }
 
 /// The label of a workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct WorkspaceLabels {
-    /// Its name; what a configuration names is few.
+    /// The name of the workspace. A configuration contains few workspaces, so the number of label values is small.
     pub workspace: String,
 }
 
-/// Upper bounds of the latency histograms, in seconds: around the objectives of both users.
+/// Upper bounds of the latency histograms, in seconds: chosen around the latency objectives of both users of the system.
 const BOUNDS: [f64; 10] = [0.01, 0.03, 0.1, 0.15, 0.3, 0.8, 1.0, 2.0, 4.0, 10.0];
 
-/// All metrics.
+/// The metrics of a process.
 #[derive(Clone, Debug)]
 pub struct Metrics {
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub requests: Family<EventLabels, Counter>,
     /// Refusals by reason.
     pub refusals: Family<EventLabels, Counter>,
@@ -59,49 +59,49 @@
     pub connections_opened: Counter,
     /// Time from a request's arrival to the first byte of its answer, in seconds.
     pub first_byte: Histogram,
-    /// Orders by how they ended.
+    /// Orders by outcome.
     pub orders: Family<EventLabels, Counter>,
-    /// Calls to the platform's store, by what is called and how it ended.
+    /// Calls to the platform's store by call and outcome.
     pub store_calls: Family<StoreCallLabels, Counter>,
     /// Datagrams to and from other VMs by kind.
     pub datagrams: Family<DatagramLabels, Counter>,
-    /// Their bytes.
+    /// Bytes of datagrams to and from other VMs by kind.
     pub datagram_bytes: Family<DatagramLabels, Counter>,
-    /// Datagrams that were not sent because they are larger than another VM reads.
+    /// Datagrams that were not sent because they exceed the maximum size that other VMs accept.
     pub datagrams_too_large: Counter,
-    /// Datagrams that were not sent, since this VM had said as much as it may, by kind.
+    /// Datagrams that were not sent because this VM had used up its send budget, by kind.
     pub datagrams_held_back: Family<DatagramLabels, Counter>,
     /// Whether this process holds the lease.
     pub holds_lease: Gauge,
     /// Endpoints on the list.
     pub endpoints: Gauge,
-    /// How old the copies of the list and of the configuration are, in seconds, looked at once a second.
+    /// The age of the copies of the list and of the configuration, in seconds, sampled once a second.
     pub copy_age: Family<EventLabels, Histogram, fn() -> Histogram>,
-    /// Records of the store's feeds that could not be read.
+    /// Records of the store's feeds that could not be parsed.
     pub unreadable_records: Counter,
-    /// Endpoints that were seen to start again under their id.
+    /// Restarts of endpoints, observed by a new instance under the same id.
     pub endpoint_restarts: Counter,
-    /// Answers in which an endpoint asked this VM for rest.
+    /// Answers in which an endpoint asked this VM for backoff.
     pub rests: Counter,
-    /// Endpoints that said themselves that they leave.
+    /// Endpoints that announced in an answer that they leave.
     pub endpoints_said_leaving: Counter,
-    /// Endpoints that name a limit of requests a second.
+    /// Endpoints that state a limit of requests a second.
     pub endpoints_limited: Gauge,
-    /// Endpoints that are cold and bear less than later.
+    /// Endpoints that are cold and take less load than they will when warm.
     pub endpoints_cold: Gauge,
-    /// Zones whose endpoints get no new work by the operators' word.
+    /// Zones that operators have evacuated, so that their endpoints get no new work.
     pub zones_evacuated: Gauge,
     /// Requests that are refused because they crash the endpoints that run them.
     pub requests_quarantined: Gauge,
-    /// Requests that ran on an endpoint when it crashed, those that are refused too.
+    /// Requests that were running on an endpoint when it crashed, including those that are refused.
     pub requests_suspected: Gauge,
     /// The version of the configuration in force.
     pub catalog: Gauge,
-    /// How often this machine was suspended.
+    /// How often this VM was suspended.
     pub suspensions: Counter,
-    /// Returns of the platform's store from a copy.
+    /// Restorations of the platform's store from a backup.
     pub store_returns: Counter,
-    /// Log lines left out for their rate.
+    /// Log lines that were dropped by the rate limit.
     pub lines_left_out: Counter,
 }
 
@@ -141,7 +141,7 @@
 }
 
 impl Metrics {
-    /// Counts one of a family.
+    /// Increments the counter of a family with this label.
     pub fn count(family: &Family<EventLabels, Counter>, what: &'static str) {
         family.get_or_create(&EventLabels { what }).inc();
     }
@@ -154,11 +154,11 @@
         self.over_limit.get_or_create(&by).inc();
     }
 
-    /// Registers what is asked of the store and said between VMs.
+    /// Registers the metrics of calls to the store and of datagrams between VMs.
     fn register_traffic(&self, r: &mut Registry) {
         r.register(
             "store_calls",
-            "Calls to the store by what is called and how it ended",
+            "Calls to the store by call and outcome",
             self.store_calls.clone(),
         );
         r.register(
@@ -173,36 +173,36 @@
         );
         r.register(
             "datagrams_too_large",
-            "Datagrams larger than another VM reads, which were not sent",
+            "Datagrams not sent because they exceed the maximum size",
             self.datagrams_too_large.clone(),
         );
         r.register(
             "datagrams_held_back",
-            "Datagrams that were not sent, since this VM had said as much as it may",
+            "Datagrams not sent because the send budget was used up",
             self.datagrams_held_back.clone(),
         );
     }
 
-    /// Registers what endpoints, and operators for them, want to be sent.
+    /// Registers the metrics of the limits that endpoints and operators set.
     fn register_limits(&self, r: &mut Registry) {
         r.register(
             "rests",
-            "Answers in which an endpoint asked this VM for rest",
+            "Answers in which an endpoint asked this VM for backoff",
             self.rests.clone(),
         );
         r.register(
             "endpoints_said_leaving",
-            "Endpoints that said themselves that they leave",
+            "Endpoints that announced that they leave",
             self.endpoints_said_leaving.clone(),
         );
         r.register(
             "endpoints_limited",
-            "Endpoints that name a limit of requests a second",
+            "Endpoints that state a limit of requests a second",
             self.endpoints_limited.clone(),
         );
         r.register(
             "endpoints_cold",
-            "Endpoints that are cold and bear less than later",
+            "Endpoints that are cold and take less load than when warm",
             self.endpoints_cold.clone(),
         );
         r.register(
@@ -212,15 +212,11 @@
         );
     }
 
-    /// Gives the registry that the administration port shows.
+    /// Returns the registry that the administration port exports.
     #[must_use]
     pub fn registry(&self) -> Registry {
         let mut r = Registry::with_prefix("limehollow");
-        r.register(
-            "requests",
-            "Requests by how they ended",
-            self.requests.clone(),
-        );
+        r.register("requests", "Requests by outcome", self.requests.clone());
         r.register("refusals", "Refusals by reason", self.refusals.clone());
         r.register(
             "over_limit",
@@ -242,7 +238,7 @@
             "Time from arrival to the first byte of the answer",
             self.first_byte.clone(),
         );
-        r.register("orders", "Orders by how they ended", self.orders.clone());
+        r.register("orders", "Orders by outcome", self.orders.clone());
         r.register(
             "holds_lease",
             "Whether this process holds the lease",
@@ -251,17 +247,17 @@
         r.register("endpoints", "Endpoints on the list", self.endpoints.clone());
         r.register(
             "copy_age_seconds",
-            "How old the copies of the store's feeds are",
+            "Age of the copies of the store's feeds",
             self.copy_age.clone(),
         );
         r.register(
             "unreadable_records",
-            "Records of the store's feeds that could not be read",
+            "Records of the store's feeds that could not be parsed",
             self.unreadable_records.clone(),
         );
         r.register(
             "endpoint_restarts",
-            "Endpoints that were seen to start again under their id",
+            "Restarts of endpoints under the same id",
             self.endpoint_restarts.clone(),
         );
         self.register_traffic(&mut r);
@@ -273,27 +269,27 @@
         );
         r.register(
             "requests_suspected",
-            "Requests that ran on an endpoint when it crashed",
+            "Requests that were running on an endpoint when it crashed",
             self.requests_suspected.clone(),
         );
         r.register(
             "catalog_version",
-            "Configuration in force",
+            "Version of the configuration in force",
             self.catalog.clone(),
         );
         r.register(
             "store_returns",
-            "Returns of the platform's store from a copy",
+            "Restorations of the platform's store from a backup",
             self.store_returns.clone(),
         );
         r.register(
             "suspensions",
-            "Times that this machine was suspended",
+            "Suspensions of this VM",
             self.suspensions.clone(),
         );
         r.register(
             "log_lines_left_out",
-            "Log lines left out",
+            "Log lines dropped by the rate limit",
             self.lines_left_out.clone(),
         );
         r
