--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -173,7 +173,7 @@
                 continue;
             }
             Datagram::Answer(a) => {
-                site.queries.answered(a);
+                site.queries.complete(a);
                 continue;
             }
         };
