--- a/crates/limehollow-node/src/dispatch.rs
+++ b/crates/limehollow-node/src/dispatch.rs
@@ -209,7 +209,7 @@
             match reason {
                 Reason::Busy => {
                     self.wait_for_capacity((now + RECHECK_INTERVAL).min(until))
-                        .await
+                        .await;
                 }
                 Reason::AtLimit => {
                     at_limit = EndpointsAtLimit::default();
