--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -202,11 +202,11 @@
 pub enum Choice {
     /// Send the request to this endpoint; the first result is expected after this many ms.
     To(EndpointKey, f64),
-    /// Every endpoint that holds the model has so many prompts to process that its streams would pause; the
-    /// first result would be expected after this many ms.
+    /// Every endpoint that holds the model and adapter has so many prompts to process that its streams would
+    /// pause; the first result would be expected after this many ms.
     Overloaded(f64),
-    /// Every endpoint that holds the model has asked this VM to back off; the first backoff ends after this
-    /// time.
+    /// Every endpoint that holds the model and adapter requires this VM to back off; the first backoff ends
+    /// after this time.
     BackingOff(Duration),
     /// No endpoint of the service accepts requests.
     NoEndpoint,
