--- a/crates/limehollow/src/rebalance.rs
+++ b/crates/limehollow/src/rebalance.rs
@@ -31,10 +31,10 @@
 /// How long after a load an endpoint gets no other model while adapters of its models are missing: its adapter
 /// slots are filled in half of that time, and it accepts no adapter while it loads a model.
 const ADAPTERS_FIRST: Duration = Duration::from_secs(1);
-/// How long an endpoint gets no other move after a failed one.
+/// How long an endpoint gets no further model after a move of a model failed there.
 const FAILED_BACKOFF: Duration = Duration::from_secs(3);
-/// How long an endpoint gets no other adapter move after a failed one. It is short because a report is some
-/// hundred ms old.
+/// How long an endpoint gets no further adapter after a move of an adapter failed there. It is short because a
+/// report is some hundred ms old.
 const ADAPTER_FAILED_BACKOFF: Duration = Duration::from_millis(250);
 /// How far demand is extrapolated from its present trend, in units of the smoothing's time constant.
 const TREND_FACTOR: f64 = 1.0;
--- a/crates/limehollow/src/rebalance/models.rs
+++ b/crates/limehollow/src/rebalance/models.rs
@@ -289,8 +289,8 @@
         changes.iter().map(cost).sum()
     }
 
-    /// Returns the models to unload from an endpoint to make room for another one, the least valuable first, or
-    /// `None` if the room is insufficient.
+    /// Returns the models to unload from an endpoint so that another one fits, the least valuable first, or
+    /// `None` if too little memory can be freed.
     ///
     /// A model is unloaded only if it has more than `left` replicas, a last replica only if the endpoint keeps
     /// a local copy, and a model with expected demand only for one that was already requested.
