--- a/crates/limehollow-node/src/lib.rs
+++ b/crates/limehollow-node/src/lib.rs
@@ -1,26 +1,32 @@
 //! The process that runs on each entry VM of a site.
 //!
-//! It takes callers' requests and forwards them, follows the configuration and the list of endpoints,
-//! tells the other VMs what it has, and on one VM of the site gives orders to the endpoints. What the
-//! platform speaks is behind the traits of [`edge`]; what has to hold is decided in [`limehollow`].
+//! It accepts callers' requests and forwards them to endpoints, follows the configuration and the list of
+//! endpoints, exchanges its state with the other VMs, and on one VM of the site gives orders to the
+//! endpoints. The platform's protocols are behind the traits of [`edge`]; the decisions are made in
+//! [`limehollow`].
 //!
-//! # A short tour
+//! # Modules
 //!
-//! * [`caller`] accepts connections, [`request`] is the life of one request, `dispatch` its way to endpoints, `assignment` which one it goes to, [`attempt`] one
-//!   try at an endpoint over a connection of [`pool`], [`relay`] a streamed answer, [`header_policy`] which headers go through.
-//! * [`keys`] says which requests may go on by their caller's key, [`limits`] whether their workspace's limit allows it, and
-//!   [`query`] is how VMs ask each other.
-//! * [`endpoint_signals`] takes in what endpoints say of what they want to be sent, and [`limit_grant`] is a request's part of an endpoint's limit.
-//! * `crash_probe` finds out whether an endpoint has crashed, and [`quarantine_sync`] has all VMs know which requests do that.
-//! * [`start`] is how a VM gets to know the site.
-//! * [`follow`] keeps configuration and list up to date, [`gossip`] what VMs tell each other, [`peer_state`]
-//!   what one has read that another can't.
-//! * [`controller`] moves models and adapters while this VM holds the lease; [`outbox`] has what it then tells.
-//! * [`counting_store`] and [`traffic`] count what the store and the other VMs are asked and told.
-//! * [`site`] is the state that they share, [`site_view`] what is known in it, [`clock`] the time, [`operator`] what operators can tell;
-//!   [`run`] puts all together.
+//! * [`caller`] accepts connections, [`request`] serves one request, `dispatch` sends it to endpoints,
+//!   `assignment` chooses the endpoint, [`attempt`] makes one attempt at an endpoint over a connection of
+//!   [`pool`], [`relay`] forwards a streamed answer, and [`header_policy`] decides which headers are
+//!   forwarded.
+//! * [`keys`] checks callers' keys, [`limits`] the limits of their workspaces, and [`query`] sends queries
+//!   to other VMs.
+//! * [`endpoint_signals`] applies what endpoints signal about the load that they accept, and
+//!   [`limit_grant`] is a request's share of an endpoint's rate limit.
+//! * `crash_probe` checks whether an endpoint has crashed, and [`quarantine_sync`] spreads the records of
+//!   requests that crash endpoints to all VMs.
+//! * [`start`] fetches the site's state when a VM starts.
+//! * [`follow`] follows the configuration, the list of endpoints and the list of VMs, [`gossip`] exchanges
+//!   messages between VMs, and [`peer_state`] hands what a VM has read to VMs that can't read the store.
+//! * [`controller`] moves models and adapters while this VM holds the lease, and [`outbox`] holds its
+//!   reports for the other VMs.
+//! * [`counting_store`] and [`traffic`] count the calls to the store and the datagrams between VMs.
+//! * [`site`] is the state that these tasks share, [`site_view`] the view of the deployment in it,
+//!   [`clock`] the time, and [`operator`] the routes for operators. [`run`] starts all tasks.
 //!
-//! The design and what was weighed are in `docs/design/system.md`.
+//! The design and the alternatives are described in `docs/design/system.md`.
 
 pub mod answer;
 mod assignment;
