--- a/crates/limehollow-node/tests/rig/crashing.rs
+++ b/crates/limehollow-node/tests/rig/crashing.rs
@@ -1,4 +1,4 @@
-//! A site whose endpoints end under a request that crashes whoever runs it, and come back as new starts.
+//! Test support: a site whose endpoints crash when they run a certain request, and restart as new instances.
 
 use super::{Gateway, Memory, Plain, answer, parse_settings, request, rule};
 use limehollow::id::{ServiceName, ZoneName};
@@ -20,28 +20,28 @@
 
 /// A body that crashes the endpoint that runs it.
 pub const CRASHING: &str = "crash whoever runs this";
-/// A body at which an endpoint ends the connection in the middle of its answer, and nothing else.
+/// A body for which an endpoint closes the connection in the middle of its answer, without crashing.
 pub const CUT_OFF: &str = "cut this one off";
-/// How long the endpoint lives once it has begun to run it: it has sent a first piece by then.
+/// How long the endpoint runs a crashing request before it crashes: it has sent the first part of its answer by then.
 const CRASHES_AFTER: Duration = Duration::from_millis(20);
-/// How long an answer takes that is whole.
+/// How long a complete answer takes.
 const WORK: Duration = Duration::from_millis(60);
-/// How long an endpoint is gone.
+/// How long an endpoint is down after a crash.
 const RESTARTS_AFTER: Duration = Duration::from_millis(300);
-/// The caller that asks, where a test doesn't say.
+/// The caller's address, unless a test uses another one.
 pub const CALLER: Ipv4Addr = Ipv4Addr::LOCALHOST;
 
-/// What endpoints saw.
+/// The events that the endpoints record.
 #[derive(Debug, Default)]
 pub struct Seen {
-    /// When requests with a crashing body reached an endpoint.
+    /// The times at which crashing requests reached an endpoint.
     pub arrivals: Mutex<Vec<Instant>>,
-    /// When endpoints ended under one.
+    /// The times at which endpoints crashed.
     pub crashes: Mutex<Vec<Instant>>,
     starts: AtomicUsize,
 }
 
-/// Several VMs in two zones before endpoints that can end.
+/// Several VMs in two zones, and endpoints that can crash.
 #[derive(Debug)]
 pub struct CrashingSite {
     pub vms: Vec<Gateway>,
@@ -52,11 +52,11 @@
     sites: Sites,
 }
 
-/// The VMs that endpoints are listed on.
+/// The VMs on which endpoints are listed.
 type Sites = Arc<Mutex<Vec<Arc<Site<Plain>>>>>;
 
 impl CrashingSite {
-    /// Starts so many VMs, whose addresses begin with 127.`net`, and so many endpoints.
+    /// Starts these numbers of VMs, whose addresses begin with 127.`net`, and of endpoints.
     pub async fn start(net: u8, vms: u8, endpoints: usize) -> Self {
         let mut site = Self {
             vms: Vec::new(),
@@ -98,7 +98,7 @@
         self.vms.push(g);
     }
 
-    /// Starts so many VMs beside those that are there; they know nothing but who the others are.
+    /// Starts this number of additional VMs; they know only the addresses of the others.
     pub async fn add_vms(&mut self, vms: u8) {
         for _ in 0..vms {
             let i = u8::try_from(self.vms.len()).expect("there are few");
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Ends all VMs at once and starts as many, which find nothing but the store.
+    /// Stops all VMs at once and starts as many new ones, which have only the store to read.
     pub async fn restart_all(&mut self) {
         let listed: Vec<Endpoint> = {
             let view = self.vms[0].site.view();
             view.roster.iter().map(|(_, e)| e.clone()).collect()
         };
         self.sites.lock().expect("sound").clear();
-        // Tasks of the former VMs go on, but nobody asks or tells those: the new ones have other addresses.
+        // Tasks of the former VMs keep running, but receive nothing: the new VMs have other addresses.
         let vms = u8::try_from(self.vms.len()).expect("there are few");
         self.vms.clear();
         for i in 0..vms {
@@ -126,12 +126,12 @@
         }
     }
 
-    /// Asks a VM as this caller, and gives all that comes until the connection ends.
+    /// Sends a request to a VM as this caller, and returns the answer once the connection ends.
     pub async fn ask(&self, vm: usize, caller: Ipv4Addr, id: &str, body: &str) -> String {
         ask(self.vms[vm].address, caller, id, body).await
     }
 
-    /// Counts the crashing requests that reached endpoints later than this after the third endpoint had ended.
+    /// Returns the number of crashing requests that reached endpoints later than this after the third crash.
     pub fn arrivals_after_third(&self, slack: Duration) -> usize {
         let crashes = self.seen.crashes.lock().expect("sound");
         let Some(third) = crashes.get(2) else {
@@ -145,7 +145,7 @@
         self.seen.arrivals.lock().expect("sound").len()
     }
 
-    /// Lists all endpoints anew as other ones at their addresses, which don't leave.
+    /// Lists new instances at the addresses of all endpoints, which aren't leaving.
     pub fn relist(&self) {
         for vm in &self.vms {
             let mut view = vm.site.view();
@@ -164,7 +164,7 @@
     }
 }
 
-/// Asks at an address as this caller.
+/// Sends a request to an address as this caller.
 pub async fn ask(to: SocketAddr, caller: Ipv4Addr, id: &str, body: &str) -> String {
     let socket = TcpSocket::new_v4().expect("a socket is free");
     socket
@@ -174,7 +174,7 @@
     let head = request("/a/x", id, "connection: close\r\n", body);
     s.write_all(head.as_bytes()).await.expect("it is written");
     let mut out = Vec::new();
-    // A connection that is reset ends the answer too.
+    // A reset of the connection ends the answer too.
     let _reset = s.read_to_end(&mut out).await;
     String::from_utf8_lossy(&out).into_owned()
 }
@@ -221,7 +221,7 @@
     }
 }
 
-/// One endpoint: start after start, each listed on all VMs for as long as it lives.
+/// Runs one endpoint: one instance after the other, each listed on all VMs while it runs.
 async fn endpoint_lives(sites: Sites, seen: Arc<Seen>) {
     loop {
         let listener = TcpListener::bind("127.0.0.1:0")
@@ -250,7 +250,7 @@
     }
 }
 
-/// Serves until a request crashes it; all its connections end then, and nobody listens any more.
+/// Serves until a request crashes the endpoint; then all its connections end, and no process listens any more.
 async fn start_until_crash(listener: TcpListener, seen: Arc<Seen>) {
     let (crash, crashed) = watch::channel(false);
     let crash = Arc::new(crash);
@@ -301,7 +301,7 @@
     }
 }
 
-/// Writes the head of an answer and a piece of its body.
+/// Writes the head of an answer and a part of its body.
 async fn write_piece(stream: &mut TcpStream, id: &str) {
     let head =
         format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-mark: m\r\ncontent-length: 100\r\n\r\npiece");
@@ -327,7 +327,7 @@
     port
 }
 
-/// Sends a whole request to a port and reads all that comes.
+/// Sends a whole request to a port and reads the answer until the connection ends.
 pub async fn call(port: u16, req: &str) -> String {
     let mut s = TcpStream::connect(("127.0.0.1", port))
         .await
--- a/crates/limehollow-node/tests/rig/mod.rs
+++ b/crates/limehollow-node/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on loopback before endpoints that do as a test says, and a store in memory.
+//! Test support: a gateway on loopback, scripted endpoints behind it, and a store in memory.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -45,7 +45,7 @@
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 const MARK: HeaderName = HeaderName::from_static("x-mark");
 
-/// A protocol with few words.
+/// A minimal protocol for tests.
 #[derive(Clone, Copy, Debug)]
 pub struct Plain;
 
@@ -156,16 +156,16 @@
     }
 }
 
-/// What an endpoint does with a request.
+/// What a scripted endpoint does with a request.
 #[derive(Clone, Debug)]
 pub enum Does {
-    /// Writes these bytes and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Writes(Vec<u8>),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     WritesAndCloses(Vec<u8>),
-    /// Writes these bytes, then nothing more.
+    /// Writes these bytes, then waits without writing more.
     WritesAndWaits(Vec<u8>),
-    /// Closes without a word.
+    /// Closes the connection without writing anything.
     Closes,
 }
 
@@ -175,19 +175,19 @@
         .into_bytes()
 }
 
-/// An endpoint, and what reached it.
+/// A scripted endpoint, and what it received.
 #[derive(Debug)]
 pub struct Server {
     pub address: SocketAddr,
     pub requests: Arc<AtomicUsize>,
-    /// What came, one entry a read.
+    /// The data received, one entry per read.
     pub came: Arc<Mutex<Vec<String>>>,
-    /// How many connections their other side has closed.
+    /// The number of connections that the peer has closed.
     pub left: Arc<AtomicUsize>,
 }
 
 impl Server {
-    /// Starts an endpoint that does these things, one a request, and the last again and again.
+    /// Starts an endpoint that takes one of these actions per request, and repeats the last one.
     pub async fn start(does: Vec<Does>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -269,7 +269,7 @@
     )
 }
 
-/// Reads settings of which a test gives its own part.
+/// Parses settings: a common part, and the part that a test passes.
 pub fn parse_settings(own: &str) -> NodeSettings {
     let common = "address = \"127.0.0.1:1\"\nreadiness_address = \"127.0.0.1:2\"\nadmin_port = 0\n\
         store_address = \"127.0.0.1:3\"\ngrace_ms = 8000\nlease_ms = 3000\nrepeat_ratio = 0.2\n\
@@ -323,7 +323,7 @@
     }
 }
 
-/// A gateway that takes connections.
+/// A running gateway.
 #[derive(Debug)]
 pub struct Gateway {
     pub site: Arc<Site<Plain>>,
@@ -332,7 +332,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway with one rule before these endpoints.
+    /// Starts a gateway with one rule and these endpoints.
     pub async fn start(rule: Rule, servers: &[SocketAddr]) -> Self {
         let site = Site::new(settings(), Plain);
         site.set_catalog(catalog(1, vec![rule]));
@@ -362,13 +362,13 @@
         TcpStream::connect(self.address).await.expect("it accepts")
     }
 
-    /// Sends one request and reads all that comes until the connection ends.
+    /// Sends one request and reads the answer until the connection ends.
     pub async fn ask(&self, path: &str, body: &str) -> String {
         ask_with(self.address, path, body).await
     }
 }
 
-/// Sends one request without a body to a gateway and reads all that comes until the connection ends.
+/// Sends one request without a body to a gateway and reads the answer until the connection ends.
 pub async fn ask_at(gateway: SocketAddr, path: &'static str) -> String {
     ask_with(gateway, path, "").await
 }
@@ -379,7 +379,7 @@
         .await
         .expect("it is written");
     let mut out = Vec::new();
-    // A connection that is reset ends the answer too.
+    // A reset of the connection ends the answer too.
     let _reset = s.read_to_end(&mut out).await;
     String::from_utf8_lossy(&out).into_owned()
 }
@@ -396,7 +396,7 @@
     word.and_then(|w| w.parse().ok()).unwrap_or(0)
 }
 
-/// No other VM hands out its state.
+/// A client that gets no state from any other VM.
 #[derive(Clone, Copy, Debug)]
 pub struct NoStates;
 
@@ -422,25 +422,25 @@
     }
 }
 
-/// A store in memory, which is away when a test says so.
+/// A store in memory, which a test can make unavailable.
 #[derive(Clone, Debug, Default)]
 pub struct Memory(Arc<Mutex<Required>>, Arc<Notify>);
 
 #[derive(Debug, Default)]
 struct Required {
     changes: Vec<(Feed, Change)>,
-    /// How often it came back from a copy.
+    /// How often the store was restored from a backup.
     era: u64,
-    /// What a whole read gives, where it isn't all changes.
+    /// The result of a full read, if it differs from all changes.
     newest: Option<Vec<Change>>,
-    /// Positions below this are gone.
+    /// The history below this position is gone.
     first: usize,
     is_away: bool,
-    /// Whether calls that wait are never woken, only ended by their own time.
+    /// Whether calls that wait are never woken by a change and end only by their timeout.
     is_deaf: bool,
-    /// How long an answer with changes is on its way.
+    /// The transit time of an answer with changes.
     transfer: Duration,
-    /// Calls of each feed.
+    /// The number of calls for each feed.
     calls: BTreeMap<Feed, usize>,
     crashes: BTreeMap<Fingerprint, CrashRecord>,
 }
@@ -451,7 +451,7 @@
         self.1.notify_waiters();
     }
 
-    /// Counts the calls for a feed so far.
+    /// Returns the number of calls for a feed so far.
     pub fn calls(&self, feed: Feed) -> usize {
         let kept = self.0.lock().expect("sound");
         kept.calls.get(&feed).copied().unwrap_or(0)
@@ -475,7 +475,7 @@
         self.0.lock().expect("sound").transfer = transfer;
     }
 
-    /// Counts the VMs that it shows.
+    /// Returns the number of VMs in the store.
     pub fn vms(&self) -> usize {
         let kept = self.0.lock().expect("sound");
         let names = kept.changes.iter().filter_map(|(_, c)| match c {
@@ -485,12 +485,12 @@
         names.collect::<std::collections::BTreeSet<_>>().len()
     }
 
-    /// Gives how many changes there are, for a copy.
+    /// Returns the number of changes, at which a backup can be made.
     pub fn len(&self) -> usize {
         self.0.lock().expect("sound").changes.len()
     }
 
-    /// Comes back from a copy that was made when there were so many changes: those since are gone.
+    /// Restores the store from a backup that was made at this number of changes; later changes are lost.
     pub fn return_from_copy(&self, len: usize) {
         let mut kept = self.0.lock().expect("sound");
         kept.changes.truncate(len);
@@ -499,10 +499,10 @@
         self.1.notify_waiters();
     }
 
-    /// Drops the history, and sets what a whole read gives from now on.
+    /// Drops the history and sets the result of full reads from now on.
     pub fn compact(&self, newest: Vec<Change>) {
         let mut kept = self.0.lock().expect("sound");
-        // A record that nobody has read goes with the rest.
+        // The history is dropped including the records that no VM has read.
         let unread = Change::EndpointGone("nobody".into());
         kept.changes.push((Feed::Vms, unread));
         kept.first = kept.changes.len();
@@ -511,7 +511,7 @@
         self.1.notify_waiters();
     }
 
-    /// Gives an answer once it has come over the link.
+    /// Returns an answer after its transit time.
     async fn transferred(&self, c: Changes) -> Changes {
         let transfer = self.0.lock().expect("sound").transfer;
         if !c.changes.is_empty() {
@@ -520,7 +520,7 @@
         c
     }
 
-    /// Reads on from a position, unless it is of another era.
+    /// Reads from a position on, unless it is of another era.
     fn read_on(&self, feed: Feed, from: LogPosition) -> Result<Changes, StoreError> {
         let era = self.0.lock().expect("sound").era;
         if from.era() != era {
@@ -546,7 +546,7 @@
     }
 }
 
-/// Leaves what is listed of each endpoint last, and nothing of one that is gone.
+/// Keeps the last entry of each endpoint, and none of an endpoint that was removed.
 fn newest_of_each(changes: Vec<Change>) -> Vec<Change> {
     let mut endpoints = BTreeMap::new();
     let mut others = Vec::new();
@@ -599,7 +599,7 @@
             tokio::time::sleep(wait).await;
             return Ok(now);
         }
-        // The time-out is an answer without changes.
+        // After the timeout the answer has no changes.
         let _timed_out = tokio::time::timeout(wait, changed).await;
         let later = self.read_on(feed, from)?;
         Ok(self.transferred(later).await)
