--- a/crates/limehollow-node/tests/requests.rs
+++ b/crates/limehollow-node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request, on sockets.
+//! Requests through a gateway to endpoints, over sockets.
 
 mod rig;
 
@@ -20,8 +20,8 @@
     Does::Writes(answer(503, "1", "x-not-run: 1\r\n", ""))
 }
 
-/// An address at which nobody listens.
-async fn nobody() -> std::net::SocketAddr {
+/// Returns an address at which no process listens.
+async fn unused_address() -> std::net::SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
@@ -52,7 +52,7 @@
         "{got}"
     );
     assert!(got.ends_with("\r\n\r\nthe return"), "{got}");
-    // A failure of the endpoint's own goes through as it is.
+    // A failure of the endpoint itself is forwarded unchanged.
     let s = Server::start(vec![Does::Writes(answer(
         500,
         "1",
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn answer_what_is_the_gateways_to_say_stays_with_it() {
+async fn answer_without_reserved_headers() {
     let s = Server::start(vec![Does::Writes(answer(
         200,
         "1",
@@ -81,7 +81,7 @@
         .await
         .expect("it is written");
     let mut got = String::new();
-    // A connection that is reset ends the answer too.
+    // A reset of the connection ends the answer too.
     let _reset = c.read_to_string(&mut got).await;
     let came = s.came.lock().expect("no test panics with it").concat();
     assert!(!came.to_lowercase().contains("x-reserve"), "{came}");
@@ -104,13 +104,13 @@
 }
 
 #[tokio::test]
-async fn refuse_at_once_what_no_endpoint_holds() {
-    // A fifth of this objective would be twelve seconds.
-    let mut patient = rule("/a/", Repeat::Never, 1);
-    patient.objective = Duration::from_mins(1);
-    patient.timeout = Duration::from_mins(1);
+async fn refuse_at_once_a_model_that_no_endpoint_holds() {
+    // With this objective a wait of a fifth of it would take twelve seconds.
+    let mut slow_rule = rule("/a/", Repeat::Never, 1);
+    slow_rule.objective = Duration::from_mins(1);
+    slow_rule.timeout = Duration::from_mins(1);
     let s = Server::start(vec![whole("never")]).await;
-    let g = Gateway::start(patient, &[s.address]).await;
+    let g = Gateway::start(slow_rule, &[s.address]).await;
     let mut c = g.connect().await;
     let more = "x-model: big\r\nconnection: close\r\n";
     c.write_all(request("/a/", "1", more, "").as_bytes())
@@ -119,7 +119,10 @@
     let mut got = String::new();
     let read = c.read_to_string(&mut got);
     let in_time = tokio::time::timeout(Duration::from_secs(6), read).await;
-    assert!(in_time.is_ok(), "it waits for a model that is nowhere");
+    assert!(
+        in_time.is_ok(),
+        "it waits for a model that no endpoint holds"
+    );
     assert_eq!(status(&got), 503);
     assert!(got.contains("retry-after: "), "{got}");
     assert_eq!(s.requests(), 0);
@@ -137,7 +140,8 @@
 
 #[tokio::test]
 async fn request_that_may_have_run_is_not_repeated() {
-    // The endpoint took it and closed: no promise may be given, and no other may get it.
+    // The endpoint read the request and closed the connection, so the request may have run: the answer must not claim
+    // otherwise, and no other endpoint may get the request.
     let (a, b) = (
         Server::start(vec![Does::Closes]).await,
         Server::start(vec![Does::Closes]).await,
@@ -148,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn request_that_may_be_repeated_goes_elsewhere() {
+async fn request_that_may_be_repeated_is_sent_to_another_endpoint() {
     for broken in [
         Does::Closes,
         Does::Writes(answer(500, "1", "x-mark: m\r\n", "")),
@@ -164,7 +168,7 @@
             &[servers[0].address, other.address],
         )
         .await;
-        // Whichever is asked first breaks; the other breaks too, so two tries are all there are.
+        // Both endpoints fail their first request, so both attempts are used up.
         let got = g.ask("/a/", "").await;
         assert_ne!(status(&got), 200, "{broken:?}");
         assert_eq!(servers[0].requests() + other.requests(), 2, "{broken:?}");
@@ -173,13 +177,13 @@
 }
 
 #[tokio::test]
-async fn refusal_is_sent_on_while_attempts_last() {
+async fn refused_request_is_retried_while_attempts_last() {
     let a = Server::start(vec![not_run()]).await;
     let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[a.address]).await;
     let got = g.ask("/a/", "").await;
     assert_eq!((status(&got), a.requests()), (503, 1));
     assert!(got.contains("retry-after: "), "{got}");
-    // One of the two refuses, the other answers; with two attempts the caller sees the answer.
+    // One endpoint refuses, the other answers; with two attempts the caller gets the answer.
     let (a, b) = (
         Server::start(vec![not_run(), whole("x")]).await,
         Server::start(vec![whole("x")]).await,
@@ -191,13 +195,17 @@
 }
 
 #[tokio::test]
-async fn endpoint_out_of_reach_is_no_attempt() {
+async fn unreachable_endpoint_does_not_count_as_an_attempt() {
     let s = Server::start(vec![whole("x")]).await;
-    let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[nobody().await, s.address]).await;
+    let g = Gateway::start(
+        rule("/a/", Repeat::Never, 1),
+        &[unused_address().await, s.address],
+    )
+    .await;
     for _ in 0..4 {
         assert_eq!(status(&g.ask("/a/", "").await), 200);
     }
-    let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[nobody().await]).await;
+    let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[unused_address().await]).await;
     assert_eq!(
         status(&g.ask("/a/", "").await),
         503,
@@ -206,8 +214,8 @@
 }
 
 #[tokio::test]
-async fn send_to_one_that_began_to_leave() {
-    // It began to leave while the connection was opened, after the choice.
+async fn send_to_an_endpoint_that_began_to_leave() {
+    // The endpoint begins to leave after it was chosen, while the connection is opened.
     let s = Server::start(vec![whole("late")]).await;
     let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[s.address]).await;
     let key = {
@@ -231,7 +239,7 @@
 }
 
 #[tokio::test]
-async fn answer_of_another_request_reaches_nobody() {
+async fn answer_to_another_request_is_not_forwarded() {
     let foreign = Does::Writes(answer(200, "2", "x-mark: m\r\n", "another's"));
     let unmarked = Does::Writes(answer(200, "1", "", "nobody's"));
     for bad in [foreign, unmarked] {
@@ -247,8 +255,8 @@
 }
 
 #[tokio::test]
-async fn surplus_answer_spoils_no_later_one() {
-    // The endpoint writes a second answer behind the first; the connection isn't used again.
+async fn surplus_answer_does_not_reach_a_later_request() {
+    // The endpoint writes a second answer after the first; the connection must not be reused.
     let mut twice = answer(200, "1", "x-mark: m\r\n", "first");
     twice.extend(answer(200, "1", "x-mark: m\r\n", "surplus"));
     let s = Server::start(vec![Does::Writes(twice), whole("second")]).await;
@@ -268,7 +276,7 @@
     transfer-encoding: chunked\r\n\r\n";
 
 #[tokio::test]
-async fn stream_events_pass_as_they_come() {
+async fn stream_events_are_forwarded_as_they_arrive() {
     let first = format!("{STREAM_HEAD}5\r\none\n\n\r\n");
     let s = Server::start(vec![Does::WritesAndWaits(first.into_bytes())]).await;
     let g = Gateway::start(stream_rule(), &[s.address]).await;
@@ -276,12 +284,12 @@
     c.write_all(request("/s/", "1", "", "").as_bytes())
         .await
         .expect("written");
-    // The stream hasn't ended, and its first event is here.
+    // The first event arrives before the stream has ended.
     assert!(read_until(&mut c, "one").await.contains("one"));
 }
 
 #[tokio::test]
-async fn stream_that_breaks_does_not_look_whole() {
+async fn stream_that_breaks_off_does_not_look_complete() {
     let cut = format!("{STREAM_HEAD}5\r\none\n\n\r\n");
     let s = Server::start(vec![Does::WritesAndCloses(cut.into_bytes())]).await;
     let g = Gateway::start(stream_rule(), &[s.address]).await;
@@ -294,7 +302,7 @@
 }
 
 #[tokio::test]
-async fn stream_ends_at_its_time() {
+async fn stream_ends_at_its_deadline() {
     let first = format!("{STREAM_HEAD}5\r\none\n\n\r\n");
     let s = Server::start(vec![Does::WritesAndWaits(first.into_bytes())]).await;
     let mut r = stream_rule();
@@ -305,7 +313,7 @@
 }
 
 #[tokio::test]
-async fn answer_that_never_comes() {
+async fn answer_that_never_arrives() {
     let s = Server::start(vec![Does::WritesAndWaits(Vec::new())]).await;
     let mut r = rule("/a/", Repeat::Never, 1);
     r.timeout = Duration::from_millis(300);
@@ -314,7 +322,7 @@
 }
 
 #[tokio::test]
-async fn caller_that_leaves_frees_the_endpoint() {
+async fn caller_that_disconnects_frees_the_endpoint() {
     let s = Server::start(vec![Does::WritesAndWaits(Vec::new())]).await;
     let g = Gateway::start(rule("/a/", Repeat::Never, 1), &[s.address]).await;
     let mut c = g.connect().await;
@@ -332,9 +340,9 @@
 }
 
 #[tokio::test]
-async fn request_given_up_is_reset() {
-    // Bytes that a cut holds up must not arrive after it: an order would come seconds late, from a holder
-    // that another has followed. A close would have them sent on; a reset drops them.
+async fn abandoned_request_is_reset() {
+    // Bytes held up by a network cut must not arrive after it: an order would arrive seconds late, from a VM that no longer
+    // holds the lease. After a close the system would still send them; a reset drops them.
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port is free");
@@ -370,7 +378,7 @@
     g.site.stop();
     g.stop.send(true).expect("it listens");
     assert!(!g.site.is_ready());
-    // The open connection still gets its answer, and new ones too.
+    // Open connections still get their answers, and so do new ones.
     c.write_all(request("/a/", "1", "", "").as_bytes())
         .await
         .expect("written");
