--- a/crates/limehollow-node/tests/crashing_requests.rs
+++ b/crates/limehollow-node/tests/crashing_requests.rs
@@ -1,18 +1,18 @@
-//! A request that crashes each endpoint that runs it, and comes again.
+//! A request that crashes each endpoint that runs it and is sent again and again.
 //!
-//! What users saw: endpoints that run models ended one after the other, 16 of them in 18 s on a site with 12; each came back after
-//! some seconds, empty. A quarter to a half of all requests wasn't served meanwhile. What happened: one caller sent one request
-//! again and again, under new ids, from many addresses, at any VM. Each arrival was the first one for the VM that took it; it sent the request
-//! to an endpoint, which ended some tens of ms after it had begun to run it, and with it all streams there. The cause:
-//! nothing outlived one arrival at one VM, and a crash was counted against the endpoint, never against the request.
+//! Guards against one caller that takes down a site's endpoints: on a site with 12 of them, 16 crashed in 18 s, each came back
+//! empty after some seconds, and a quarter to a half of all requests wasn't served meanwhile. The caller sent the same request
+//! under new ids, from many addresses, to any VM. Each arrival looked like the first one to the VM that received it, the
+//! endpoint crashed some tens of ms after it had begun to run the request, and all its streams broke off. No record outlived
+//! one arrival at one VM, and a crash was counted against the endpoint, never against the request.
 //!
-//! The address is no part of what makes two arrivals the same request: a first repair that took it for the caller failed, since the
-//! streams that had begun last came to VMs of three zones within 0.4 s, and each address comes to one zone.
+//! The caller's address isn't part of a request's identity. A first fix that included it failed: the streams that had begun
+//! last arrived at VMs of three zones within 0.4 s, while each address is routed to one zone.
 //!
-//! The evidence: each time an endpoint ended, of the 3 to 23 streams that broke off in that millisecond the one that had
-//! begun last was of the same rule and model, and had had no result or its first one less than 70 ms before; endpoints that
-//! didn't hold the model went on; 18 of 42 endpoints had got no order in the half second before; none of these requests was sent on
-//! within one arrival.
+//! The cause was found from these observations: at each crash, of the 3 to 23 streams that broke off in the same millisecond,
+//! the one that had begun last had the same rule and model, and had had no result or its first one less than 70 ms before.
+//! Endpoints that didn't hold the model kept running. 18 of 42 endpoints had received no order in the half second before. None
+//! of these requests was retried within one arrival.
 
 mod rig;
 
@@ -23,26 +23,27 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The time within which all VMs have to know that a request has crashed its third endpoint: a third of what the site allows.
+/// The time within which all VMs have to know that a request has crashed its third endpoint: a third of the time that the
+/// requirements allow.
 const KNOWN_WITHIN: Duration = Duration::from_millis(1000);
-/// How often a request may still be sent to endpoints after that.
+/// How often the request may still be sent to endpoints after [`KNOWN_WITHIN`].
 const ALLOWED: usize = 3;
 /// The pause between two arrivals of the request.
-const COMES_AGAIN: Duration = Duration::from_millis(150);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Gives the address from which the request comes the n-th time: its caller stands behind several.
+/// Returns the address from which the n-th request is sent: the caller uses several addresses.
 fn address(n: usize) -> Ipv4Addr {
     let last = u8::try_from(n % 7 + 1).expect("it is small");
     Ipv4Addr::new(127, 0, 0, last)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_request_comes_again_at_other_vms() {
+async fn crashing_request_repeated_at_other_vms() {
     let site = CrashingSite::start(2, 4, 6).await;
     for n in 0..20 {
         site.ask(n % 4, address(n), &format!("c-{n}"), CRASHING)
             .await;
-        sleep(COMES_AGAIN).await;
+        sleep(ARRIVAL_INTERVAL).await;
     }
     let crashes = site.crashes();
     assert!(crashes >= 3, "{crashes} endpoints ended");
@@ -51,14 +52,14 @@
         late <= ALLOWED,
         "sent to endpoints {late} times more, {crashes} ended in all"
     );
-    // It crashed nobody else: other requests of the same caller are served.
+    // Other requests of the same caller are still served.
     for vm in 0..4 {
         let got = site.ask(vm, CALLER, "i-1", "a statement").await;
         assert_eq!(status(&got), 200, "{got}");
     }
 }
 
-/// Sends the crashing request until it is refused, and gives its last answer.
+/// Sends the crashing request until it is refused. Returns the last answer.
 async fn until_refused(site: &CrashingSite) -> String {
     for n in 0..20 {
         let vm = n % site.vms.len();
@@ -66,7 +67,7 @@
         if status(&got) == 503 {
             return got;
         }
-        sleep(COMES_AGAIN).await;
+        sleep(ARRIVAL_INTERVAL).await;
     }
     panic!("it is never refused");
 }
@@ -91,7 +92,7 @@
         .parse()
         .expect("it is in seconds");
     assert!((590.0..=600.0).contains(&after), "{after} s");
-    // It is the same request from another address.
+    // The same request from another address is refused too.
     let got = site.ask(0, address(9), "c-9", CRASHING).await;
     assert_eq!(status(&got), 503, "{got}");
 }
@@ -101,7 +102,7 @@
     let mut site = CrashingSite::start(4, 2, 4).await;
     site.store.set_away(true);
     until_refused(&site).await;
-    // Who starts now is told by the others, whatever they said before.
+    // VMs that start now learn of the request from the others, whatever those have sent before.
     sleep(Duration::from_secs(1)).await;
     site.add_vms(2).await;
     sleep(KNOWN_WITHIN).await;
@@ -145,7 +146,7 @@
         .await;
         assert_eq!(status(&got), expected, "{path}: {got}");
     }
-    // All VMs hear of it.
+    // All VMs learn that the request is cleared.
     sleep(Duration::from_millis(500)).await;
     let arrivals = site.arrivals();
     site.ask(1, CALLER, "again", CRASHING).await;
@@ -168,7 +169,7 @@
 async fn end_of_an_endpoint_that_leaves_is_no_crash() {
     let site = CrashingSite::start(8, 1, 6).await;
     for n in 0..4 {
-        // It is said to leave while the request runs.
+        // The endpoint is marked as leaving while the request runs.
         let s = Arc::clone(&site.vms[0].site);
         tokio::spawn(async move {
             sleep(Duration::from_millis(5)).await;
