--- a/crates/limehollow-node/tests/endpoint_limits.rs
+++ b/crates/limehollow-node/tests/endpoint_limits.rs
@@ -1,10 +1,10 @@
-//! Endpoints that say how many requests a second they take of all VMs together.
+//! Endpoints that state how many requests a second they take from all VMs together.
 //!
-//! What users saw: two endpoints in need named limits of 2.8 and 3.3 requests a second in their answers and went on getting ten, from
-//! nine VMs that all had passed such answers on; 40 in four seconds where 25 would have been borne. Order of events: the endpoints name
-//! their limits; no VM's rate changes; it stays so for as long as the limits stand. Cause: what an answer says of its endpoint
-//! was used for the request at hand and then forgotten. Evidence: the endpoints' rates before and after the word are the same, a
-//! VM's dump had no place for it, and with lines for it each VM shows that it heard the limit and sent on.
+//! Guards against VMs that ignore an endpoint's limit: two overloaded endpoints stated limits of 2.8 and 3.3 requests a second in
+//! their answers and went on getting ten from nine VMs, all of which had forwarded such answers: 40 requests in four seconds
+//! where 25 were tolerable. The signals of an answer were used for the request at hand and then dropped. The endpoints' rates
+//! were the same before and after the signal, a VM's dump had no field for the limit, and added log lines showed that each VM
+//! had received the limit and went on sending.
 
 mod rig;
 
@@ -17,12 +17,12 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What the endpoint takes, in requests a second.
+/// The limit that the endpoint states, in requests a second.
 const RATE: f64 = 2.0;
-/// What it bears in four seconds: one and a half times that, and five.
-const BORNE: usize = 17;
+/// The maximum number of requests within four seconds: one and a half times the limit, plus five.
+const MAX_REACHED: usize = 17;
 
-/// Starts an endpoint that names its limit, and some VMs before it that know how many they are.
+/// Starts an endpoint that states its limit, and gateways in front of it that know how many VMs there are.
 async fn start(vms: usize) -> (Server, Vec<Gateway>) {
     let head = format!("x-mark: 1\r\nx-rate: {RATE}\r\n");
     let server = Server::start(vec![Does::Writes(answer(200, "1", &head, "ok"))]).await;
@@ -35,26 +35,29 @@
     (server, gateways)
 }
 
-/// Has callers send requests to all VMs at once. Gives the answers.
+/// Sends requests to all VMs at once. Returns the answers.
 async fn burst(gateways: &[Gateway], requests: usize) -> Vec<String> {
-    let mut asking = JoinSet::new();
+    let mut requests_sent = JoinSet::new();
     for n in 0..requests {
         let address = gateways[n % gateways.len()].address;
-        asking.spawn(rig::ask_at(address, "/draft/1"));
+        requests_sent.spawn(rig::ask_at(address, "/draft/1"));
     }
-    asking.join_all().await
+    requests_sent.join_all().await
 }
 
 #[tokio::test]
-async fn limit_of_an_endpoint_before_one_vm_and_three() {
+async fn limit_is_kept_by_one_vm_and_by_three() {
     for vms in [1, 3] {
         let (server, gateways) = start(vms).await;
-        // Each VM hears the limit from the endpoint itself.
+        // Each VM receives the limit from the endpoint itself.
         burst(&gateways, vms).await;
         let before = server.requests();
         let answers = burst(&gateways, 60).await;
         let reached = server.requests() - before;
-        assert!(reached <= BORNE, "{reached} of 60 reached the endpoint");
+        assert!(
+            reached <= MAX_REACHED,
+            "{reached} of 60 reached the endpoint"
+        );
         let refused: Vec<_> = answers.iter().filter(|a| status(a) == 503).collect();
         assert!(!refused.is_empty());
         for a in refused {
@@ -63,11 +66,12 @@
     }
 }
 
-/// What a cold endpoint bears in a second beyond its rate.
+/// The rate that a cold endpoint takes, in requests a second.
 const COLD_RATE: f64 = 6.0;
-const BORNE_COLD: usize = 14;
+/// The maximum number of requests that may reach the cold endpoint in the test.
+const MAX_REACHED_COLD: usize = 14;
 
-fn portal_is_cold_at_first() -> Catalog {
+fn catalog_with_cold_start() -> Catalog {
     let spec = ServiceSpec {
         health_path: "/health".into(),
         max_connections: 100,
@@ -84,14 +88,14 @@
 }
 
 #[tokio::test]
-async fn cold_endpoint_gets_what_it_bears() {
+async fn cold_endpoint_gets_no_more_than_its_rate() {
     for vms in [1, 3] {
         let whole = Does::Writes(answer(200, "1", "x-mark: 1\r\n", "ok"));
         let server = Server::start(vec![whole]).await;
         let mut gateways = Vec::new();
         for _ in 0..vms {
             let g = Gateway::start(rule("/draft/", Repeat::Never, 1), &[]).await;
-            g.site.set_catalog(portal_is_cold_at_first());
+            g.site.set_catalog(catalog_with_cold_start());
             let mut view = g.site.view();
             view.update_vm_count(Instant::now(), vms);
             let cold = Endpoint {
@@ -104,21 +108,21 @@
         }
         let answers = burst(&gateways, 60).await;
         let reached = server.requests();
-        assert!(reached <= BORNE_COLD, "{reached} of 60 reached it");
+        assert!(reached <= MAX_REACHED_COLD, "{reached} of 60 reached it");
         let refused: Vec<_> = answers.iter().filter(|a| status(a) == 503).collect();
         assert_eq!(refused.len(), 60 - reached);
     }
 }
 
 #[tokio::test]
-async fn cold_endpoint_is_left_alone_while_others_have_room() {
+async fn cold_endpoint_gets_nothing_while_a_warm_one_has_capacity() {
     let whole = || Does::Writes(answer(200, "1", "x-mark: 1\r\n", "ok"));
     let (cold, warm) = (
         Server::start(vec![whole()]).await,
         Server::start(vec![whole()]).await,
     );
     let g = Gateway::start(rule("/draft/", Repeat::Never, 1), &[]).await;
-    g.site.set_catalog(portal_is_cold_at_first());
+    g.site.set_catalog(catalog_with_cold_start());
     for (i, server, cold_ms) in [(0, &cold, 60_000), (1, &warm, 0)] {
         let listed = Endpoint {
             cold_ms,
--- a/crates/limehollow-node/tests/endpoint_limits_shared.rs
+++ b/crates/limehollow-node/tests/endpoint_limits_shared.rs
@@ -1,4 +1,5 @@
-//! An endpoint's limit over many VMs that hear of it at different times, die, start again, stand still or are cut off, on paused time.
+//! An endpoint's limit shared by many VMs that learn of it at different times, crash, restart, are suspended or are cut off.
+//! Runs on paused time.
 
 mod rig;
 
@@ -15,26 +16,26 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The span over which the endpoint counts.
+/// The window over which the endpoint counts requests.
 const WINDOW: Duration = Duration::from_secs(4);
-/// After so long since its first word the limit has to hold.
+/// The time after which the limit has to hold, since the endpoint stated it.
 const KNOWN_AFTER: Duration = Duration::from_secs(3);
-/// A VM counts from so long after it was told.
-const TOLD_BEFORE: Duration = Duration::from_millis(500);
+/// How long after a VM received the limit its requests are counted.
+const COUNTED_AFTER: Duration = Duration::from_millis(500);
 const STEP: Duration = Duration::from_millis(10);
-/// The longest time between the grant of a request's part and its arrival: a connection may have to be opened.
-const LONGEST_WAY: Duration = Duration::from_millis(200);
+/// The longest time between the grant of a request's share and its arrival: a connection may have to be opened.
+const MAX_TRANSIT: Duration = Duration::from_millis(200);
 const ZONES: usize = 3;
 
 fn instance() -> Instance {
     "i-0".into()
 }
 
-/// The endpoint: what it takes, and what reached it.
+/// The simulated endpoint: its limit, and the requests that reached it.
 #[derive(Debug, Default)]
 struct Endpoint {
     rate: Option<f64>,
-    /// When a request arrived, from a VM of which the limit has to be kept.
+    /// The arrival times of requests from VMs that have to keep the limit.
     counted: Vec<Instant>,
     arrived: usize,
     refused: usize,
@@ -42,13 +43,13 @@
 
 type Shared = Arc<Mutex<Endpoint>>;
 
-/// A site under a load of which the endpoint takes a part only.
+/// A site under a load that exceeds the endpoint's limit.
 struct Load {
     fleet: Fleet,
     endpoint: Shared,
-    /// When each VM heard the limit from the endpoint itself, in its present life.
+    /// When each VM received the limit from the endpoint itself, since its last start.
     told: Arc<Mutex<Vec<Option<Instant>>>>,
-    still: Option<usize>,
+    suspended: Option<usize>,
     requests_per_s: f64,
     rng: StdRng,
 }
@@ -60,7 +61,7 @@
             endpoint: Arc::default(),
             told: Arc::new(Mutex::new(vec![None; vms])),
             fleet,
-            still: None,
+            suspended: None,
             requests_per_s,
             rng: StdRng::seed_from_u64(seed),
         }
@@ -70,14 +71,14 @@
         self.endpoint.lock().expect("sound").rate = rate;
     }
 
-    /// Lets callers ask for so long.
+    /// Sends callers' requests for this time.
     async fn run(&mut self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
             let due = self.requests_per_s * STEP.as_secs_f64();
             if self.rng.random_bool(due.min(1.0)) {
                 let vm = self.rng.random_range(0..self.fleet.vms.len());
-                if Some(vm) != self.still && self.fleet.is_running(vm) {
+                if Some(vm) != self.suspended && self.fleet.is_running(vm) {
                     self.ask(vm);
                 }
             }
@@ -88,7 +89,7 @@
     fn ask(&mut self, vm: usize) {
         let site = Arc::clone(&self.fleet.vms[vm].site);
         let (endpoint, told) = (Arc::clone(&self.endpoint), Arc::clone(&self.told));
-        let way = self.rng.random_range(Duration::ZERO..LONGEST_WAY);
+        let way = self.rng.random_range(Duration::ZERO..MAX_TRANSIT);
         let runs_for = self.rng.random_range(20..800);
         tokio::spawn(async move {
             let Some(to) = target(&site).await else {
@@ -105,7 +106,7 @@
                 let was_told = told.lock().expect("sound")[vm];
                 let mut e = endpoint.lock().expect("sound");
                 e.arrived += 1;
-                let knew = was_told.is_some_and(|t| asked - t >= TOLD_BEFORE);
+                let knew = was_told.is_some_and(|t| asked - t >= COUNTED_AFTER);
                 if knew || matches!(to.grant, LimitGrant::Granted(_)) {
                     e.counted.push(asked);
                 }
@@ -133,7 +134,7 @@
         self.endpoint.lock().expect("sound").arrived
     }
 
-    /// Gives the most that was counted within the window, from a time on.
+    /// Returns the maximum number of requests counted within one window, from this time on.
     fn most(&self, from: Instant) -> usize {
         let e = self.endpoint.lock().expect("sound");
         let counted: Vec<Instant> = e.counted.iter().copied().filter(|t| *t >= from).collect();
@@ -174,7 +175,7 @@
     Duration::from_secs(n)
 }
 
-/// What callers get in calm, beside the sum: nearly all that the endpoint takes.
+/// Returns the share of the endpoint's limit that is used without failures, which should be nearly all; also checks the limit.
 async fn calm(vms: usize, rate: f64) -> f64 {
     let mut l = Load::start(1, vms, rate * 5.0).await;
     l.set_rate(Some(rate));
@@ -203,7 +204,7 @@
     }
 }
 
-/// VMs that lead their zones and keep pools die and start again, stand still, are cut off, and messages are lost.
+/// Checks the limit while coordinators crash and restart, are suspended or cut off, and messages are lost.
 async fn trouble(seed: u64, vms: usize) {
     let rate = 2.8;
     let mut l = Load::start(seed, vms, rate * 5.0).await;
@@ -214,8 +215,8 @@
         let vm = l.rng.random_range(0..ZONES);
         match l.rng.random_range(0..5) {
             0 => l.restart(vm),
-            1 if l.still.is_none() => {
-                l.still = Some(vm);
+            1 if l.suspended.is_none() => {
+                l.suspended = Some(vm);
                 l.fleet.set_still(vm, true);
             }
             2 => l.fleet.cut(vm),
@@ -228,7 +229,7 @@
         let time = l.rng.random_range(Duration::from_millis(200)..secs(5));
         l.run(time).await;
         if n % 2 == 1 {
-            if let Some(vm) = l.still.take() {
+            if let Some(vm) = l.suspended.take() {
                 l.fleet.set_still(vm, false);
             }
             l.fleet.mend_cuts();
@@ -252,9 +253,10 @@
     }
 }
 
-/// All VMs that hand out the endpoint's limit start again: who asked them goes on when they have heard of it.
+/// All coordinators of the endpoint's limit restart: the other VMs are granted requests again once the coordinators have learnt
+/// of the limit.
 #[tokio::test(start_paused = true)]
-async fn shared_limit_after_its_keepers_started_again() {
+async fn shared_limit_after_its_coordinators_restart() {
     let rate = 2.8;
     let mut l = Load::start(5, 9, rate * 5.0).await;
     l.set_rate(Some(rate));
@@ -269,12 +271,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn shared_limit_that_ends_is_forgotten_by_all() {
+async fn shared_limit_that_ends_is_dropped_by_all() {
     let mut l = Load::start(6, 9, 20.0).await;
     l.set_rate(Some(0.0));
     l.run(secs(10)).await;
     l.set_rate(None);
-    // With no limit at all it is asked once in ten seconds.
+    // With a limit of zero the endpoint is probed once in ten seconds, so the end of the limit is learnt late.
     l.run(secs(25)).await;
     let before = l.arrived();
     l.run(secs(5)).await;
