--- a/crates/limehollow-node/tests/keys.rs
+++ b/crates/limehollow-node/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys that operators take away are of no use on any VM after a bound, and VMs whose keys don't count say so.
+//! A key that operators remove is accepted by no VM after a bound, and VMs whose keys aren't valid report so.
 
 mod rig;
 
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep};
 
 const BOUND: Duration = Duration::from_millis(KEY_REMOVAL_MS);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const KEY: &str = "a key";
 
 fn with_keys(version: u64, keys: &[&str]) -> Catalog {
@@ -27,7 +27,7 @@
     catalog(version, Vec::new()).with_workspaces(all)
 }
 
-/// Starts a site of so many VMs whose configuration has a key.
+/// Starts a site with this many VMs whose configuration has a key.
 async fn start(vms: usize) -> Fleet {
     let fleet = Fleet::start(3, vms, 3000, 1).await;
     fleet.configure_with(with_keys(2, &["another key", KEY]));
@@ -37,7 +37,7 @@
     fleet
 }
 
-/// Counts the VMs on which the key is of use.
+/// Counts the VMs that accept the key.
 fn accepting(fleet: &Fleet) -> usize {
     let accepts = |v: &&rig::fleet::Entry| {
         let c = v.site.catalog.load();
@@ -49,53 +49,53 @@
     fleet.vms.iter().filter(accepts).count()
 }
 
-/// Gives how long it takes from now on until the key is of no use on any VM.
-async fn of_no_use(fleet: &Fleet) -> Duration {
+/// Returns how long it takes from now on until no VM accepts the key.
+async fn until_no_vm_accepts(fleet: &Fleet) -> Duration {
     let began = Instant::now();
     while accepting(fleet) > 0 && began.elapsed() < BOUND * 4 {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
     began.elapsed()
 }
 
-async fn taken_away_while(vms: usize, trouble: impl FnOnce(&mut Fleet)) -> Duration {
+async fn removal_time_during(vms: usize, disturb: impl FnOnce(&mut Fleet)) -> Duration {
     let mut fleet = start(vms).await;
-    trouble(&mut fleet);
+    disturb(&mut fleet);
     fleet.configure_with(with_keys(3, &["another key"]));
-    of_no_use(&fleet).await
+    until_no_vm_accepts(&fleet).await
 }
 
 #[tokio::test(start_paused = true)]
-async fn taken_away_in_calm() {
+async fn key_removed_without_failures() {
     for vms in [8, 69] {
-        let time = taken_away_while(vms, |_| {}).await;
+        let time = removal_time_during(vms, |_| {}).await;
         assert!(time <= Duration::from_secs(3), "{time:?} with {vms} VMs");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn taken_away_while_the_store_turns_most_vms_away() {
+async fn key_removed_while_the_store_rejects_most_vms() {
     for vms in [8, 69] {
-        let time = taken_away_while(vms, turn_most_away).await;
+        let time = removal_time_during(vms, reject_most).await;
         assert!(time <= BOUND, "{time:?} with {vms} VMs");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn taken_away_while_the_store_turns_most_of_300_vms_away() {
-    let time = taken_away_while(300, turn_most_away).await;
+async fn key_removed_while_the_store_rejects_most_of_300_vms() {
+    let time = removal_time_during(300, reject_most).await;
     assert!(time <= BOUND, "{time:?}");
 }
 
-fn turn_most_away(f: &mut Fleet) {
+fn reject_most(f: &mut Fleet) {
     let most: Vec<usize> = (0..f.vms.len()).filter(|i| i % 9 != 8).collect();
     f.treat(&most, Treats::Away);
 }
 
 #[tokio::test(start_paused = true)]
-async fn taken_away_while_the_store_is_silent_to_a_zone_that_is_cut_off() {
+async fn key_removed_while_the_store_does_not_answer_a_zone_that_is_cut_off() {
     for vms in [8, 69] {
-        let time = taken_away_while(vms, |f| {
+        let time = removal_time_during(vms, |f| {
             let zone = f.zone(1);
             f.treat(&zone, Treats::Silent);
             f.cut(1);
@@ -105,27 +105,27 @@
     }
 }
 
-/// A VM that stood still finds messages and answers that say how fresh others' configurations *were*. While the age was
-/// counted from their arrival, such a VM used keys that had been taken away seconds before.
+/// A VM that was suspended finds queued messages and answers that state how fresh other VMs' configurations *were*. When the
+/// age was counted from the time they were read, such a VM accepted keys that had been removed seconds before.
 #[tokio::test(start_paused = true)]
-async fn taken_away_while_a_vm_stands_still_and_the_store_is_silent_to_it() {
-    for still_ms in [500, 2000, 4000, 6000] {
+async fn key_removed_while_a_vm_is_suspended_and_the_store_does_not_answer_it() {
+    for suspended_ms in [500, 2000, 4000, 6000] {
         let fleet = start(8).await;
         let vm = 7;
         fleet.treat(&[vm], Treats::Silent);
         fleet.set_still(vm, true);
-        sleep(Duration::from_millis(still_ms)).await;
+        sleep(Duration::from_millis(suspended_ms)).await;
         fleet.configure_with(with_keys(3, &["another key"]));
         let began = Instant::now();
         sleep(Duration::from_secs(1)).await;
         fleet.set_still(vm, false);
-        let time = began.elapsed() + of_no_use(&fleet).await;
-        assert!(time <= BOUND, "{time:?} after {still_ms} ms");
+        let time = began.elapsed() + until_no_vm_accepts(&fleet).await;
+        assert!(time <= BOUND, "{time:?} after {suspended_ms} ms");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn keys_dont_count_without_the_store_and_count_again_with_it() {
+async fn keys_are_invalid_without_the_store_and_valid_again_with_it() {
     let fleet = start(8).await;
     fleet.treat_all(Treats::Away);
     sleep(BOUND).await;
@@ -136,10 +136,10 @@
     assert_eq!(fleet.trusting(), 8);
 }
 
-/// One VM that reaches the store is enough for all, wherever it is. Guards against VMs that refuse callers because whom they ask
-/// for the configuration's age is drawn at random.
+/// One VM that reaches the store is enough for all VMs, in whichever zone it is. Guards against VMs that refuse callers because
+/// they query only random VMs for the age of the configuration.
 #[tokio::test(start_paused = true)]
-async fn keys_count_where_another_vm_reaches_the_store() {
+async fn keys_stay_valid_while_one_vm_reaches_the_store() {
     for vms in [8, 69] {
         let fleet = start(vms).await;
         let others: Vec<usize> = (0..vms).filter(|i| *i != 5).collect();
@@ -152,9 +152,9 @@
     }
 }
 
-/// The same again and again, with a VM that few others are in a zone with: what rests on luck shows.
+/// Repeats the previous test with few VMs a zone, so that a result that depends on chance fails.
 #[tokio::test(start_paused = true)]
-async fn keys_count_each_time_another_vm_reaches_the_store() {
+async fn keys_stay_valid_each_time_while_one_vm_reaches_the_store() {
     for _ in 0..48 {
         let fleet = start(8).await;
         let others: Vec<usize> = (0..8).filter(|i| *i != 5).collect();
@@ -166,21 +166,21 @@
     }
 }
 
-/// What it costs: at most one question a second and VM, and no more calls to the store than the VMs that read for their zones
-/// make without keys.
+/// The cost without failures: at most one query per second and VM, and no more calls to the store than the VMs that read for
+/// their zones make without keys.
 #[tokio::test(start_paused = true)]
-async fn calm_costs_one_question_a_second() {
+async fn confirmation_costs_one_query_a_second() {
     for vms in [8, 69] {
         let fleet = start(vms).await;
-        let (asked, called) = (
+        let (queries_before, calls_before) = (
             fleet.queries("configuration"),
             fleet.store.calls(Feed::Configuration),
         );
         sleep(Duration::from_secs(20)).await;
-        let asked = fleet.queries("configuration") - asked;
-        let called = fleet.store.calls(Feed::Configuration) - called;
-        assert!(asked <= vms * 22, "{asked} questions of {vms} VMs");
-        // Three readers, each every 1.35 s, and two VMs a zone that wait 25 s at a time.
-        assert!(called <= 3 * 16 + 6 * 2, "{called} calls of {vms} VMs");
+        let queries = fleet.queries("configuration") - queries_before;
+        let calls = fleet.store.calls(Feed::Configuration) - calls_before;
+        assert!(queries <= vms * 22, "{queries} queries of {vms} VMs");
+        // Three readers with one call every 1.35 s each, and two VMs per zone with calls that wait for 25 s.
+        assert!(calls <= 3 * 16 + 6 * 2, "{calls} calls of {vms} VMs");
     }
 }
