--- a/crates/limehollow-node/tests/header_policy.rs
+++ b/crates/limehollow-node/tests/header_policy.rs
@@ -1,4 +1,4 @@
-//! Which headers go through.
+//! Which headers the gateway removes and which it forwards.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use limehollow_node::edge::HeaderPolicy;
@@ -12,7 +12,7 @@
     }
 }
 
-/// Cleans headers whose names are spelt as a peer may spell them, and gives what is left.
+/// Cleans headers whose names are in any case, and returns the remaining ones.
 fn cleaned(rows: &[(&str, &str)]) -> Vec<(String, String)> {
     let mut h = HeaderMap::new();
     for (name, value) in rows {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn clean_takes_out_what_is_ours() {
+fn clean_removes_reserved_headers() {
     for name in ["reserve", "Reserve", "RESERVE", "rEsErVe"] {
         assert_eq!(cleaned(&[(name, "7"), ("x", "1")]), rows(&[("x", "1")]));
     }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn clean_takes_out_what_concerns_one_connection() {
+fn clean_removes_hop_by_hop_headers() {
     let all = [
         ("connection", "keep-alive, X-One"),
         ("Connection", "x-two"),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn clean_keeps_what_connection_must_not_name() {
+fn clean_keeps_required_headers_named_by_connection() {
     let named = [
         ("connection", "Model, reserve"),
         ("model", "m"),
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn clean_connection_that_names_nothing() {
+fn clean_with_a_connection_header_that_names_nothing() {
     let odd = [("connection", ", ;, a b,"), ("x", "1")];
     assert_eq!(cleaned(&odd), rows(&[("x", "1")]));
 }
 
 #[test]
-fn clean_passes_what_is_repeated() {
+fn clean_forwards_repeated_headers() {
     let twice = [("x", "1"), ("x", "2")];
     assert_eq!(cleaned(&twice), rows(&[("x", "1"), ("x", "2")]));
 }
--- a/crates/limehollow-node/tests/many_callers.rs
+++ b/crates/limehollow-node/tests/many_callers.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, of which there are more than a VM has descriptors for.
+//! More connections of callers than a VM has file descriptors for.
 
 mod rig;
 
@@ -12,15 +12,16 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Of so many descriptors connections of callers may take sixty.
+/// The VM's limit of file descriptors.
 const DESCRIPTORS: usize = 100;
-const MOST: usize = 60;
-/// Longer than a connection that is accepted waits for its answer on a loaded machine.
+/// The number of these that connections of callers may use.
+const MAX_CONNECTIONS: usize = 60;
+/// Longer than an accepted connection waits for its answer on a loaded machine.
 const LONG: Duration = Duration::from_secs(20);
-/// How long one is looked at that isn't to be accepted.
+/// How long a connection that must not be accepted is observed.
 const SHORT: Duration = Duration::from_millis(300);
 
-/// Asks on a connection, and gives the answer's head; none where there was none within the time.
+/// Sends a request on a connection and returns the answer's head, or `None` if there is no answer in time.
 async fn ask(s: &mut TcpStream, within: Duration) -> Option<String> {
     let req = b"GET /a/ HTTP/1.1\r\nhost: portal.example\r\n\r\n";
     s.write_all(req).await.expect("it is sent");
@@ -30,9 +31,9 @@
     Some(String::from_utf8_lossy(&buf[..n]).to_lowercase())
 }
 
-/// Guards against callers' connections at rest that take all descriptors: then neither endpoints nor the store are reached.
+/// Guards against idle connections of callers that use up all descriptors, so that neither endpoints nor the store can be reached.
 #[tokio::test]
-async fn connections_at_rest_leave_descriptors_for_the_rest() {
+async fn idle_connections_leave_descriptors_for_endpoints_and_the_store() {
     let own = format!(
         "name = \"vm-1\"\navailability_zone = \"a\"\nip = \"127.0.0.1\"\npeer_port = 0\ndescriptors = {DESCRIPTORS}\n"
     );
@@ -44,16 +45,16 @@
     let (_stop, stopped) = watch::channel(false);
     tokio::spawn(caller::serve(Arc::clone(&site), listener, stopped));
     let mut open = Vec::new();
-    for i in 0..MOST {
+    for i in 0..MAX_CONNECTIONS {
         let mut s = TcpStream::connect(address).await.expect("it accepts");
-        if i < MOST / 2 - 1 {
+        if i < MAX_CONNECTIONS / 2 - 1 {
             let head = ask(&mut s, LONG).await.expect("it is answered");
             assert!(!head.contains("connection: close"), "{i}: {head}");
         }
         open.push(s);
     }
-    // One of many: its connection ends with its answer.
-    let head = ask(&mut open[MOST - 1], LONG)
+    // Above half of the limit each connection is closed with its answer.
+    let head = ask(&mut open[MAX_CONNECTIONS - 1], LONG)
         .await
         .expect("it is answered");
     assert!(head.contains("connection: close"), "{head}");
@@ -62,9 +63,9 @@
         .expect("the system takes it");
     assert!(
         ask(&mut another, LONG).await.is_some(),
-        "there is room again"
+        "a connection has been closed, so another is accepted"
     );
-    // Once as many are open as may be, the next waits until one ends.
+    // At the limit the next connection waits until another one ends.
     drop(another);
     let mut last = TcpStream::connect(address)
         .await
@@ -79,6 +80,6 @@
     let mut buf = [0; 64];
     let n = timeout(LONG, next.read(&mut buf))
         .await
-        .expect("it is its turn");
+        .expect("it is accepted");
     assert!(n.expect("it is read") > 0);
 }
--- a/crates/limehollow-node/tests/stopping.rs
+++ b/crates/limehollow-node/tests/stopping.rs
@@ -1,11 +1,11 @@
-//! How a process ends.
+//! How a process stops.
 
 use limehollow_node::caller::accept_after_stop;
 use std::time::Duration;
 
 #[test]
-fn turn_away_leaves_time_for_what_was_taken_last() {
-    // Found by the soak: with a grace of 3 s connections were taken for 2.8 s, and streams cut at its end.
+fn accept_after_stop_leaves_time_for_the_last_requests() {
+    // Found by the soak test: with a grace period of 3 s, connections were accepted for 2.8 s, and streams were cut at the end.
     let cases = [
         (3_000, 1_050),
         (4_000, 1_400),
