--- a/crates/limehollow-node/tests/quarantine_spread.rs
+++ b/crates/limehollow-node/tests/quarantine_spread.rs
@@ -1,5 +1,5 @@
-//! How soon all VMs of a site refuse a request that has crashed three endpoints, each seen by another VM, and what telling
-//! each other costs, on paused time.
+//! How soon all VMs of a site refuse a request that has crashed three endpoints, each crash seen by a different VM, and how many
+//! bytes the exchange of records takes. Runs on paused time.
 
 mod rig;
 
@@ -9,15 +9,15 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Sites of 8, 71 and 300 VMs in 3, 3 and 5 zones.
+/// The simulated sites: zones and VMs.
 const SITES: [(usize, usize); 3] = [(3, 8), (3, 71), (5, 300)];
-/// What a site allows from the third crash until no VM sends the request on, less half a second for the crash to be noticed and
-/// the request's own way.
+/// The time allowed from the third crash until no VM forwards the request, less half a second for detecting the crash and for
+/// the request's own transit.
 const KNOWN_WITHIN: Duration = Duration::from_millis(2500);
-/// How often a small site plays what depends on chance: few VMs have few ways round a lost message.
-const PLAYS_OF_FEW: usize = 40;
-/// What telling other VMs may cost one of them a second.
-const BYTES_PER_SECOND: usize = 12_000;
+/// How often a small site repeats a test that depends on chance: with few VMs there are few paths around a lost message.
+const SMALL_SITE_RUNS: usize = 40;
+/// The maximum number of bytes a second that the exchange may cost one VM.
+const MAX_BYTES_PER_SECOND: usize = 12_000;
 
 fn request(n: usize) -> Fingerprint {
     Fingerprint::of(&Identity {
@@ -29,7 +29,7 @@
     })
 }
 
-/// Three endpoints crash under a request, each seen by a VM of its own.
+/// Crashes three endpoints under a request, each crash seen by a different VM.
 fn crash_three(fleet: &Fleet, request: Fingerprint) {
     for n in 0..3 {
         let vm = fleet.vms.len() - 1 - n;
@@ -66,15 +66,15 @@
 #[tokio::test(start_paused = true)]
 async fn spread_among_few_vms_with_two_of_three_messages_lost() {
     let mut took = Vec::new();
-    for _ in 0..PLAYS_OF_FEW {
+    for _ in 0..SMALL_SITE_RUNS {
         let fleet = Fleet::start(3, 8, 2000, 4).await;
         fleet.lose_all_but_one_in(3);
         crash_three(&fleet, request(0));
         took.push(fleet.refused_by_all(request(0)).await);
     }
     took.sort_unstable();
-    let (half, longest) = (took[PLAYS_OF_FEW / 2], took[PLAYS_OF_FEW - 1]);
-    println!("{PLAYS_OF_FEW} plays: half of them {half:?}, at most {longest:?}");
+    let (half, longest) = (took[SMALL_SITE_RUNS / 2], took[SMALL_SITE_RUNS - 1]);
+    println!("{SMALL_SITE_RUNS} runs: half of them {half:?}, at most {longest:?}");
     assert!(
         longest <= KNOWN_WITHIN,
         "two of three messages lost: {took:?}"
@@ -109,8 +109,8 @@
 async fn spread_in_a_burst_of_crashes_is_bounded() {
     for (zones, vms) in SITES {
         let fleet = Fleet::start(zones, vms, 2000, 4).await;
-        // A seventh of 240 endpoints, or as many as a small site has, within a second, with 64 requests each; three of ten
-        // are hit early, as of those that ended with 13 endpoints of a small site.
+        // A seventh of 240 endpoints, or all endpoints of a small site, crash within a second, with 64 requests each. Three
+        // of ten requests are at an early stage, as was observed when 13 endpoints of a small site crashed.
         let endpoints: usize = if vms > 200 { 36 } else { 12 };
         let pauses = u32::try_from(endpoints).expect("they are few");
         for e in 0..endpoints {
@@ -134,6 +134,6 @@
             took.as_millis()
         );
         assert!(took <= KNOWN_WITHIN, "{took:?}");
-        assert!(each <= BYTES_PER_SECOND, "{each} bytes a second");
+        assert!(each <= MAX_BYTES_PER_SECOND, "{each} bytes a second");
     }
 }
