--- a/crates/limehollow-node/tests/suspension.rs
+++ b/crates/limehollow-node/tests/suspension.rs
@@ -1,7 +1,7 @@
-//! A VM that was suspended for some seconds and goes on as if no time had passed.
+//! A VM that was suspended for some seconds and resumes as if no time had passed.
 //!
-//! The steady clock stands still with the machine. What a VM believes by it (that it holds the lease, that its neighbours
-//! are there, that its list is fresh, that a request has time left) is as old as before, while the rest of the site has gone on.
+//! The monotonic clock doesn't advance while the machine is suspended. By this clock the VM still holds the lease, its
+//! neighbours are alive, its list is fresh and its requests have time left, while the rest of the site has gone on.
 
 mod rig;
 
@@ -27,7 +27,7 @@
 /// How long the machine is suspended in these tests.
 const AWAY: Duration = Duration::from_secs(10);
 
-/// When a request of two seconds has ended at the latest, since the suspension takes the rest of its time.
+/// The maximum duration of a request with a timeout of two seconds, as the suspension uses up the rest of its time.
 const IN_TIME: Duration = Duration::from_millis(1500);
 
 fn site() -> Arc<Site<Plain>> {
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn lease_isnt_used_after_a_suspension() {
+async fn lease_is_not_used_after_a_suspension() {
     let site = site();
     let lease: SharedLease = Arc::new(Mutex::new(GroupLease::new(Duration::from_secs(3))));
     let (_stop, stopped) = watch::channel(false);
@@ -48,17 +48,17 @@
     ));
     sleep(Duration::from_secs(8)).await;
     assert_eq!(fence(&site, &lease), Some(1));
-    // The first thing after the machine goes on is an order: another VM has the lease by now.
+    // The first action after the machine resumes is an order, but another VM has the lease by now.
     site.clock.simulate_suspension(AWAY);
     assert_eq!(fence(&site, &lease), None);
-    // Dealt the lease again, it waits until orders of the one in between can't arrive any more.
+    // When the VM gets the lease again, it waits until orders of the holder in between can no longer arrive.
     sleep(Duration::from_secs(2)).await;
     assert_eq!(fence(&site, &lease), None);
     sleep(Duration::from_secs(5)).await;
     assert_eq!(fence(&site, &lease), Some(1));
 }
 
-/// Starts a gateway whose clock a test sets, before one endpoint, with a rule of two seconds.
+/// Starts a gateway with a settable clock, one endpoint and a rule with a timeout of two seconds.
 async fn gateway(to: SocketAddr, is_streamed: bool) -> Gateway {
     let site = site();
     let mut r = rule("/a/", Repeat::Never, 1);
@@ -69,13 +69,13 @@
         .await
         .expect("a port is free");
     let wanted = Arc::new(Notify::new());
-    // It is the task that says how much time was lost.
+    // This task detects the suspension and reports how much time was lost.
     let socket = Arc::new(gossip::GossipSocket::new(Arc::clone(&site), socket));
     tokio::spawn(gossip::send(Arc::clone(&site), socket, wanted));
     Gateway::with(site).await
 }
 
-/// Asks, lets the machine be suspended meanwhile, and gives the answer and how long it took without that.
+/// Sends a request and simulates a suspension meanwhile. Returns the answer and how long it took, without the suspension.
 async fn ask_and_suspend(g: &Gateway) -> (String, Duration) {
     let began = Instant::now();
     let clock = Arc::clone(&g.site.clock);
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn request_ends_at_its_time_after_a_suspension() {
+async fn request_ends_at_its_deadline_after_a_suspension() {
     let s = Server::start(vec![Does::WritesAndWaits(Vec::new())]).await;
     let g = gateway(s.address, false).await;
     let (got, took) = ask_and_suspend(&g).await;
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn stream_ends_at_its_time_after_a_suspension() {
+async fn stream_ends_at_its_deadline_after_a_suspension() {
     let head = "HTTP/1.1 200 OK\r\nx-id: 1\r\nx-mark: m\r\ncontent-length: 100\r\n\r\npiece";
     let s = Server::start(vec![Does::WritesAndWaits(head.into())]).await;
     let g = gateway(s.address, true).await;
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn kept_connection_isnt_used_after_a_suspension() {
+async fn pooled_connection_is_not_used_after_a_suspension() {
     let s = Server::start(vec![Does::Writes(answer(200, "1", "x-mark: m\r\n", "x"))]).await;
     let clock = Arc::new(Clock::settable());
     let pool = Pool::new(Arc::clone(&clock));
@@ -116,14 +116,14 @@
     let c = pool.open(key, s.address).await.expect("it listens");
     pool.put(c).await;
     clock.simulate_suspension(AWAY);
-    assert!(pool.take(key).is_none(), "it rested for ten seconds");
+    assert!(pool.take(key).is_none(), "it was idle for ten seconds");
     let c = pool.open(key, s.address).await.expect("it listens");
     pool.put(c).await;
     assert!(pool.take(key).is_some());
 }
 
 #[tokio::test(start_paused = true)]
-async fn copies_and_neighbours_are_old_after_a_suspension() {
+async fn copies_and_neighbours_are_outdated_after_a_suspension() {
     let site = site();
     let mut view = site.view();
     let gap = Duration::from_secs(1);
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn wait_ends_when_the_machine_goes_on() {
+async fn wait_ends_when_the_machine_resumes() {
     let clock = Arc::new(Clock::settable());
     let due = clock.now() + Duration::from_secs(5);
     let waiting = {
@@ -158,7 +158,7 @@
     sleep(Duration::from_secs(1)).await;
     clock.simulate_suspension(Duration::from_secs(3));
     assert_eq!(clock.detect_suspension(), Some(Duration::from_secs(3)));
-    assert_eq!(clock.detect_suspension(), None, "it is said once");
+    assert_eq!(clock.detect_suspension(), None, "it is reported once");
     sleep(Duration::from_millis(900)).await;
     assert!(!waiting.is_finished());
     sleep(Duration::from_millis(200)).await;
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn clock_of_the_system_loses_nothing_while_it_runs() {
+fn system_clock_detects_no_suspension_while_the_machine_runs() {
     let clock = Clock::system();
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(clock.detect_suspension(), None);
--- a/crates/limehollow-node/tests/workspaces.rs
+++ b/crates/limehollow-node/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! What callers of workspaces get, and what endpoints are told of them.
+//! Keys and limits of workspaces, and what is forwarded of them to endpoints.
 
 mod rig;
 
@@ -40,7 +40,7 @@
     vec![rule("/draft/", Repeat::Never, 1), open]
 }
 
-/// Starts a gateway that knows one workspace, whose key counts.
+/// Starts a gateway with one workspace, whose key is valid.
 async fn start(limit: Option<Limit>) -> (Gateway, Server) {
     let server = Server::start(vec![Does::Writes(answer(200, "1", "x-mark: 1\r\n", "ok"))]).await;
     let settings = parse_settings(
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn key_of_a_workspace_is_kept_from_endpoints() {
+async fn key_of_a_workspace_is_not_forwarded() {
     let (g, server) = start(None).await;
     let headers = format!("{KEY}x-workspace: somebody else\r\n");
     assert_eq!(status(&ask(&g, "/draft/1", &headers).await), 200);
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn open_rule_needs_no_key_and_passes_none_on() {
+async fn open_rule_needs_no_key_and_forwards_none() {
     let (g, server) = start(None).await;
     let headers = format!("{KEY}x-workspace: somebody else\r\n");
     for headers in ["", headers.as_str()] {
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn unknown_key_or_none_is_told_so() {
+async fn unknown_or_missing_key_is_unauthorized() {
     let (g, server) = start(None).await;
     for headers in ["", "x-key: another\r\n", "x-key: \r\n"] {
         assert_eq!(
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn unknown_key_while_another_vm_has_read_further_may_come_again() {
+async fn unknown_key_may_be_retried_while_another_vm_has_a_newer_configuration() {
     let (g, _server) = start(None).await;
     let ahead = ("vm-2".into(), LogPosition::new(0, 7));
     let feed = limehollow_node::edge::Feed::Configuration;
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn key_that_cant_be_confirmed_is_refused_and_open_rules_go_on() {
+async fn unconfirmed_key_is_refused_and_open_rules_still_work() {
     let (g, server) = start(None).await;
     g.site.view().confirmation = limehollow::confirmation::Confirmation::default();
     let long_ago = Instant::now().checked_sub(Duration::from_secs(5));
@@ -149,7 +149,7 @@
         burst: 2.0,
     };
     let (g, server) = start(Some(limit)).await;
-    // Nothing is earned yet.
+    // No tokens have been earned yet.
     let res = ask(&g, "/draft/1", KEY).await;
     assert_eq!(status(&res), 429);
     assert!(res.contains("retry-after"), "{res}");
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn refused_request_gives_back_what_it_took() {
+async fn refused_request_refunds_its_tokens() {
     let limit = Limit {
         rate: 2.0,
         burst: 2.0,
@@ -178,11 +178,11 @@
     assert!(held(&g.site) > 1.0, "{}", held(&g.site));
 }
 
-/// Between a request's arrival and its sending an endpoint may have to be connected to. The key is looked up again then.
+/// The key is checked again before a request is sent, as there may be a long wait after its arrival.
 #[tokio::test]
-async fn key_taken_away_while_the_request_waits_isnt_used() {
+async fn key_removed_while_the_request_waits_is_rejected() {
     let (g, server) = start(None).await;
-    // The key goes while the rest of the body is under way.
+    // The key is removed before the rest of the body is sent.
     let mut s = g.connect().await;
     let body = "x".repeat(100);
     let req = rig::request(
@@ -204,7 +204,7 @@
 }
 
 #[tokio::test]
-async fn dump_holds_no_key() {
+async fn dump_contains_no_key() {
     let (g, _server) = start(Some(Limit {
         rate: 2.0,
         burst: 2.0,
