--- a/crates/limehollow/tests/load_window.rs
+++ b/crates/limehollow/tests/load_window.rs
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn assume_full_after_a_change_of_the_lease_holder() {
+async fn assume_full_after_a_change_of_holder() {
     let spec = engine(2);
     let mut w = LoadWindow::default();
     let began = Instant::now();
