--- a/crates/limehollow/src/arrivals.rs
+++ b/crates/limehollow/src/arrivals.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns the rates, and drops those below [`MIN_RATE`].
+    /// Returns the rates, and drops the models whose rate is negligible.
     pub fn rates(&mut self, now: Instant) -> Vec<(ModelRef, f64)> {
         self.rates.retain(|_, r| r.decayed(now) > MIN_RATE);
         let rates = self.rates.iter();
