--- a/crates/limehollow/src/demand.rs
+++ b/crates/limehollow/src/demand.rs
@@ -15,11 +15,11 @@
 /// How long a gateway's report is counted.
 pub const DEMAND_REPORT_LIFETIME: Duration = Duration::from_secs(10);
 /// The time for which a new replica is expected to be useful, in seconds.
-const HORIZON: f64 = 600.0;
+const HORIZON_S: f64 = 600.0;
 /// The cost of a move in requests, at equal weights.
-const MOVE_PRICE: f64 = 100.0;
+const MOVE_COST: f64 = 100.0;
 /// The number of moves that an added replica costs: it has to be removed again later.
-const MOVES: f64 = 2.0;
+const MOVES_PER_REPLICA: f64 = 2.0;
 
 /// One gateway's report of the requests for one model that it refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -100,7 +100,7 @@
 
 /// Returns the gain of another replica less the cost of its moves.
 fn gain(intent: &Intent, unmet: f64) -> f64 {
-    let attained = f64::from(intent.weights.attainment) * unmet * HORIZON;
-    let moved = f64::from(intent.weights.moves) * MOVES * MOVE_PRICE;
+    let attained = f64::from(intent.weights.attainment) * unmet * HORIZON_S;
+    let moved = f64::from(intent.weights.moves) * MOVES_PER_REPLICA * MOVE_COST;
     if unmet > 0.0 { attained - moved } else { 0.0 }
 }
