--- a/crates/limehollow/src/rebalance/models.rs
+++ b/crates/limehollow/src/rebalance/models.rs
@@ -30,7 +30,7 @@
 /// 0.007 in the worst seconds; compared with a factor of three, 0.007 +- 0.009 (20 days each).
 const ONLY_IN_ZONE: f64 = 1.5;
 /// The smallest fraction of its value that a move keeps, however long the load takes.
-const LEAST_TIMELY: f64 = 0.1;
+const MIN_TIMELY_PART: f64 = 0.1;
 /// The maximum cost of a second replica, and its additional cost in the zone of the first.
 const SPARE_COST: f64 = 0.1;
 /// The fraction of the replicas of a model with adapters whose endpoints may be executing orders for models at
@@ -55,7 +55,7 @@
 const FULL_SLOPE: f64 = 3.0 * (FULL_LOAD / HIGH_LOAD) * (FULL_LOAD / HIGH_LOAD) / HIGH_LOAD;
 /// The cost of a model without a replica and without demand, if others would have to be unloaded: less than
 /// that of any useful replica.
-const UNASKED_COST: f64 = 1.0;
+const UNREQUESTED_COST: f64 = 1.0;
 
 /// Returns the cost of a model without a replica for a demand in ms of work per second.
 ///
@@ -193,7 +193,7 @@
             // A single request is too little evidence to unload another model's last replica.
             (true, true) => missing_cost(t.at_least(load)),
             (true, false) if evict.is_empty() => MISSING_COST,
-            (true, false) => UNASKED_COST,
+            (true, false) => UNREQUESTED_COST,
         };
         gained - lost.iter().sum::<f64>()
     }
@@ -205,7 +205,7 @@
         } else {
             self.table.cold_load_s(load)
         };
-        (1.0 - ready_s / HORIZON_S).max(LEAST_TIMELY)
+        (1.0 - ready_s / HORIZON_S).max(MIN_TIMELY_PART)
     }
 
     /// Returns the move that adds a second replica of a model at the lowest cost.
