--- a/crates/limehollow/src/balance.rs
+++ b/crates/limehollow/src/balance.rs
@@ -300,7 +300,7 @@
         tried: &[EndpointKey],
     ) -> Choice {
         let mut found = Choice::NoEndpoint;
-        let mut rest: Option<Duration> = None;
+        let mut backoff: Option<Duration> = None;
         let mut best: Option<Candidate> = None;
         let open = roster.open(&job.service);
         for (key, e) in open.filter(|(_, e)| job.may_run_in(&e.zone)) {
@@ -315,7 +315,7 @@
                 continue;
             }
             if let Some(wait) = self.backpressure.opens_in(now, key) {
-                rest = Some(rest.map_or(wait, |r| r.min(wait)));
+                backoff = Some(backoff.map_or(wait, |r| r.min(wait)));
                 continue;
             }
             if tried.contains(&key) {
@@ -343,7 +343,7 @@
         match best {
             Some(c) if c.is_overloaded => Choice::Overloaded(c.expected_ms),
             Some(c) => Choice::To(c.key, c.expected_ms),
-            None => rest.map_or(found, Choice::BackingOff),
+            None => backoff.map_or(found, Choice::BackingOff),
         }
     }
 
