--- a/crates/limehollow-node/src/run.rs
+++ b/crates/limehollow-node/src/run.rs
@@ -209,7 +209,7 @@
                 site.settings.store(Arc::new(s));
             }
             Err(e) => {
-                tracing::warn!(error = %e, "the settings are invalid; keeping the previous ones")
+                tracing::warn!(error = %e, "the settings are invalid; keeping the previous ones");
             }
         }
     }
