--- a/crates/limehollow-node/tests/rig/fleet.rs
+++ b/crates/limehollow-node/tests/rig/fleet.rs
@@ -1,5 +1,6 @@
-//! Many VMs of a site on paused time: their followers, the messages between them, and a store that treats each VM as a
-//! test says. Messages and states go by memory, so that nothing waits for a socket.
+//! Many VMs of a site on paused time: their followers, the messages between them, and a store whose
+//! behaviour towards each VM a test sets. Messages and states are passed in memory, so that nothing waits
+//! for a socket.
 
 use super::fleet_net::{Neighbours, Net};
 pub use super::fleet_store::Treats;
@@ -25,15 +26,15 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{Instant, sleep};
 
-/// How often a test looks whether all VMs know.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// How long it looks at most.
-const LOOK_FOR: Duration = Duration::from_secs(60);
+/// How often a test checks whether all VMs know something.
+const POLL_EVERY: Duration = Duration::from_millis(20);
+/// How long a test checks at most.
+const POLL_FOR: Duration = Duration::from_secs(60);
 
-/// The time in which an endpoint that leaves is out of use on a site of many hundred VMs.
+/// The time in which a leaving endpoint has to be out of use on a site of many hundred VMs.
 const COLD_LEAVING_MS: u64 = 5000;
 
-/// After how long a key that was taken away must be of no use.
+/// The time after which a removed key must be rejected.
 pub const KEY_REMOVAL_MS: u64 = 5000;
 
 /// One VM.
@@ -68,14 +69,14 @@
 pub struct Fleet {
     pub store: Memory,
     pub vms: Vec<Entry>,
-    /// What the store does for all of them together.
+    /// The store's capacity, which all VMs share.
     pub turns: Turns,
     net: Net,
 }
 
 impl Fleet {
-    /// Starts a site with so many VMs in so many zones, on which an endpoint that leaves has to be out of use after
-    /// so many ms, and lets it come to rest. The first VM of each zone is the strongest.
+    /// Starts a site of `vms` VMs in `zones` zones, on which a leaving endpoint has to be out of use after
+    /// `leaving_ms` ms, and waits until it is stable. The first VM of each zone is the strongest.
     pub async fn start(zones: usize, vms: usize, leaving_ms: u64, endpoints: usize) -> Self {
         let store = Memory::default();
         for i in 0..endpoints {
@@ -99,7 +100,8 @@
         fleet
     }
 
-    /// Starts a site whose VMs know nothing but the first few, all at once, before a store that reads out so many entries a second.
+    /// Starts all VMs of a site at once, with a store that returns `entries_per_s` entries per second. The
+    /// VMs know only the seeds.
     pub fn cold(zones: usize, vms: usize, endpoints: usize, entries_per_s: f64) -> Self {
         let store = Memory::default();
         store.add(
@@ -124,7 +126,7 @@
         fleet
     }
 
-    /// Kills all VMs and starts them again, which know nothing then; the store goes on showing them.
+    /// Kills all VMs and starts them again without state. The store still lists them.
     pub fn restart_all_cold(&mut self) {
         for i in 0..self.vms.len() {
             self.kill(i);
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Gives how long it takes from now on until all running VMs have the configuration, so many endpoints, and know how many
-    /// they are.
+    /// Returns the time from now until all running VMs have the configuration and all endpoints, and know
+    /// how many VMs there are.
     pub async fn all_ready(&self, endpoints: usize) -> Duration {
         let began = Instant::now();
         let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
@@ -147,25 +149,25 @@
             let view = v.site.view();
             v.site.catalog.load().is_some() && view.roster.len() >= endpoints
         };
-        while began.elapsed() < LOOK_FOR && running.clone().filter(has_all).count() < n {
-            sleep(LOOK_EVERY).await;
+        while began.elapsed() < POLL_FOR && running.clone().filter(has_all).count() < n {
+            sleep(POLL_EVERY).await;
         }
         began.elapsed()
     }
 
-    /// Gives the most states that one VM has handed over, the named ones left out.
+    /// Returns the largest number of states that one VM other than the seeds has handed over.
     pub fn most_handed_over(&self) -> usize {
-        let ways = self.net.0.lock().expect("sound");
-        ways.sending.values().map(|(_, n)| *n).max().unwrap_or(0)
+        let net = self.net.0.lock().expect("the lock is not poisoned");
+        net.sending.values().map(|(_, n)| *n).max().unwrap_or(0)
     }
 
-    /// Gives how many states all VMs have handed over.
+    /// Returns the number of states that all VMs have handed over.
     pub fn handed_over(&self) -> usize {
-        let ways = self.net.0.lock().expect("sound");
-        ways.sending.values().map(|(_, n)| *n).sum()
+        let net = self.net.0.lock().expect("the lock is not poisoned");
+        net.sending.values().map(|(_, n)| *n).sum()
     }
 
-    /// Gives the fewest VMs of its zone that a running VM knows, itself left out.
+    /// Returns the smallest number of other VMs of its zone that a running VM knows.
     pub fn fewest_neighbours(&self) -> usize {
         let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
         let neighbours = running.map(|v| v.site.view().peers.neighbours().len());
@@ -214,9 +216,9 @@
         );
         let site = Site::new(parse_settings(&own), Plain);
         let address = site.settings.load().peer_address();
-        let mut ways = self.net.0.lock().expect("sound");
-        ways.sites.insert(address, (zone, Arc::clone(&site)));
-        drop(ways);
+        let mut net = self.net.0.lock().expect("the lock is not poisoned");
+        net.sites.insert(address, (zone, Arc::clone(&site)));
+        drop(net);
         let link = Link {
             store: self.store.clone(),
             turns: self.turns.clone(),
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Ends a VM and starts it again: it knows nothing but the other VMs.
+    /// Ends a VM and starts it again. It knows only the other VMs.
     pub fn restart(&mut self, i: usize) {
         self.kill(i);
         let (zone, settings) = {
@@ -305,7 +307,7 @@
         }));
     }
 
-    /// Gives the VMs of a zone, the one that leads it first.
+    /// Returns the VMs of a zone, starting with its leader.
     pub fn zone(&self, zone: usize) -> Vec<usize> {
         let here = self.vms.iter().enumerate().filter(|(_, v)| v.zone == zone);
         here.map(|(i, _)| i).collect()
@@ -326,42 +328,61 @@
         self.treat(&all, treats);
     }
 
-    /// Tells whether a VM runs.
+    /// Returns `true` if a VM runs.
     pub fn is_running(&self, vm: usize) -> bool {
         !self.vms[vm].tasks.is_empty()
     }
 
-    /// Ends a VM without a word; nothing reaches it any more.
+    /// Ends a VM without notice. It receives nothing any more.
     pub fn kill(&mut self, i: usize) {
         for t in self.vms[i].tasks.drain(..) {
             t.abort();
         }
         let address = self.vms[i].site.settings.load().peer_address();
-        self.net.0.lock().expect("sound").sites.remove(&address);
+        self.net
+            .0
+            .lock()
+            .expect("the lock is not poisoned")
+            .sites
+            .remove(&address);
     }
 
-    /// Cuts a zone off from the other zones; the store is still reached.
+    /// Cuts a zone off from the other zones. It still reaches the store.
     pub fn cut(&self, zone: usize) {
-        self.net.0.lock().expect("sound").cut.insert(zone);
+        self.net
+            .0
+            .lock()
+            .expect("the lock is not poisoned")
+            .cut
+            .insert(zone);
     }
 
     /// Ends all cuts.
     pub fn mend_cuts(&self) {
-        self.net.0.lock().expect("sound").cut.clear();
+        self.net
+            .0
+            .lock()
+            .expect("the lock is not poisoned")
+            .cut
+            .clear();
     }
 
-    /// Lets one message of so many arrive.
+    /// Lets only one in `n` messages arrive.
     pub fn lose_all_but_one_in(&self, n: usize) {
-        self.net.0.lock().expect("sound").arrives_one_in = n;
+        self.net
+            .0
+            .lock()
+            .expect("the lock is not poisoned")
+            .arrives_one_in = n;
     }
 
-    /// Gives the most bytes of records of crashing requests that reached one VM so far.
+    /// Returns the largest number of bytes of crash records that one VM has received.
     pub fn most_crash_bytes(&self) -> usize {
-        let ways = self.net.0.lock().expect("sound");
-        ways.crash_bytes.values().copied().max().unwrap_or(0)
+        let net = self.net.0.lock().expect("the lock is not poisoned");
+        net.crash_bytes.values().copied().max().unwrap_or(0)
     }
 
-    /// Tells a VM that a start of an endpoint crashed under a request.
+    /// Has a VM record that an instance of an endpoint crashed under a request.
     pub fn crash(&self, vm: usize, request: Fingerprint, endpoint: usize, timing: Timing) {
         let start = instance::Instance::from(format!("e-{endpoint}").as_str());
         let site = &self.vms[vm].site;
@@ -377,7 +398,7 @@
         site.record_crash(&start);
     }
 
-    /// Gives how long it takes from now on until all running VMs refuse a request.
+    /// Returns the time from now until all running VMs refuse a request.
     pub async fn refused_by_all(&self, request: Fingerprint) -> Duration {
         let began = Instant::now();
         let refuses = |v: &Entry| {
@@ -385,91 +406,91 @@
             let standing = view.quarantine.standing(Instant::now(), request);
             v.tasks.is_empty() || matches!(standing, Standing::Quarantined(_))
         };
-        while began.elapsed() < LOOK_FOR && !self.vms.iter().all(refuses) {
-            sleep(LOOK_EVERY).await;
+        while began.elapsed() < POLL_FOR && !self.vms.iter().all(refuses) {
+            sleep(POLL_EVERY).await;
         }
         began.elapsed()
     }
 
-    /// Puts a configuration into the store.
+    /// Writes a configuration to the store.
     pub fn configure(&self, version: u64) {
         self.configure_with(catalog(version, Vec::new()));
     }
 
-    /// A VM stands still until it goes on: what reaches it waits.
+    /// Pauses a VM or lets it continue. What is sent to a paused VM waits.
     pub fn set_still(&self, vm: usize, is_still: bool) {
         let address = self.vms[vm].site.settings.load().peer_address();
-        let mut ways = self.net.0.lock().expect("sound");
+        let mut net = self.net.0.lock().expect("the lock is not poisoned");
         if is_still {
-            ways.still.insert(address);
+            net.still.insert(address);
         } else {
-            ways.still.remove(&address);
+            net.still.remove(&address);
         }
     }
 
-    /// Gives how many questions about something were sent so far.
+    /// Returns the number of queries of a kind that have been sent.
     pub fn queries(&self, about: &str) -> usize {
-        let ways = self.net.0.lock().expect("sound");
-        ways.queries.get(about).copied().unwrap_or(0)
+        let net = self.net.0.lock().expect("the lock is not poisoned");
+        net.queries.get(about).copied().unwrap_or(0)
     }
 
-    /// Counts the VMs whose keys count.
+    /// Returns the number of VMs that accept keys.
     pub fn trusting(&self) -> usize {
         let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
         running.filter(|v| v.site.keys_are_valid()).count()
     }
 
-    /// Puts this configuration into the store.
+    /// Writes the given configuration to the store.
     pub fn configure_with(&self, c: Catalog) {
         self.store
             .add(Feed::Configuration, Change::Catalog(Box::new(c)));
     }
 
-    /// Gives how long it takes from now on until a configuration is in force on all running VMs.
+    /// Returns the time from now until a configuration is in force on all running VMs.
     pub async fn in_force(&self, version: u64) -> Duration {
         let began = Instant::now();
         let has = |v: &Entry| {
             let c = v.site.catalog.load();
             c.as_ref().is_some_and(|c| c.version >= version)
         };
-        while began.elapsed() < LOOK_FOR && !self.vms.iter().all(has) {
-            sleep(LOOK_EVERY).await;
+        while began.elapsed() < POLL_FOR && !self.vms.iter().all(has) {
+            sleep(POLL_EVERY).await;
         }
         began.elapsed()
     }
 
-    /// Gives how long it takes from now on until a configuration is in force on all VMs of a zone.
+    /// Returns the time from now until a configuration is in force on all VMs of a zone.
     pub async fn in_force_in(&self, zone: usize, version: u64) -> Duration {
         let began = Instant::now();
         let has = |i: &usize| {
             let c = self.vms[*i].site.catalog.load();
             c.as_ref().is_some_and(|c| c.version >= version)
         };
-        while began.elapsed() < LOOK_FOR && !self.zone(zone).iter().all(has) {
-            sleep(LOOK_EVERY).await;
+        while began.elapsed() < POLL_FOR && !self.zone(zone).iter().all(has) {
+            sleep(POLL_EVERY).await;
         }
         began.elapsed()
     }
 
-    /// Tells whether a running VM sends requests to an endpoint.
+    /// Returns `true` if a running VM sends requests to an endpoint.
     pub fn uses(&self, vm: usize, endpoint: usize) -> bool {
         let vm = &self.vms[vm];
         !vm.tasks.is_empty() && vm.has_open(&listed(endpoint).instance.id)
     }
 
-    /// An endpoint says that it leaves, as the store acknowledges now.
+    /// Has an endpoint announce now that it leaves, acknowledged by the store.
     pub fn leave(&self, i: usize) {
         let mut e = listed(i);
         e.leaving = true;
         self.store.add(Feed::Endpoints, Change::Endpoint(e));
     }
 
-    /// An endpoint lists itself again.
+    /// Has an endpoint write its entry again.
     pub fn list(&self, i: usize) {
         self.store.add(Feed::Endpoints, Change::Endpoint(listed(i)));
     }
 
-    /// Checks that all VMs use an endpoint for as long as this.
+    /// Checks that all VMs use an endpoint for the given time.
     pub async fn always_used(&self, endpoint: usize, time: Duration) {
         let began = Instant::now();
         while began.elapsed() < time {
@@ -481,31 +502,32 @@
                     self.vms.len()
                 );
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_EVERY).await;
         }
     }
 
-    /// An endpoint's entry goes.
+    /// Removes an endpoint's entry.
     pub fn vanish(&self, i: usize) {
         let gone = Change::EndpointGone(listed(i).instance.id);
         self.store.add(Feed::Endpoints, gone);
     }
 
-    /// Gives how long it takes from now on until no running VM sends anything to an endpoint, and which is last.
+    /// Returns the time from now until no running VM sends anything to an endpoint, and the last VM that
+    /// did.
     pub async fn out_of_use(&self, i: usize) -> (Duration, String) {
         let instance = listed(i).instance.id;
         let began = Instant::now();
         let mut last = String::from("nobody");
-        while began.elapsed() < LOOK_FOR {
+        while began.elapsed() < POLL_FOR {
             let running = self.vms.iter().filter(|v| !v.tasks.is_empty());
             let mut using = running.filter(|v| v.has_open(&instance));
             let Some(vm) = using.next_back() else {
                 return (began.elapsed(), last);
             };
             last = vm.site.own_vm.to_string();
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_EVERY).await;
         }
-        (LOOK_FOR, last)
+        (POLL_FOR, last)
     }
 }
 
--- a/crates/limehollow-node/tests/rig/fleet_store.rs
+++ b/crates/limehollow-node/tests/rig/fleet_store.rs
@@ -1,4 +1,5 @@
-//! The platform's store as the VMs of a fleet reach it: it treats each as a test says, and does one thing at a time for all.
+//! The platform's store as the VMs of a fleet reach it. A test sets its behaviour towards each VM, and its
+//! capacity is shared by all VMs.
 
 use super::Memory;
 use limehollow::crash_record::CrashRecord;
@@ -11,23 +12,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// What the store reads out in one answer, how long its client waits for one, how long an append takes and how many wait.
+/// The number of entries in one answer of the store, how long its client waits for an answer, how long an
+/// append takes and how many may wait.
 const PAGE: usize = 500;
 const READ_WITHIN: Duration = Duration::from_millis(1200);
 const APPEND: Duration = Duration::from_millis(4);
 const LONGEST_QUEUE: Duration = Duration::from_secs(2);
-/// How long its client waits for the answer to a join.
+/// How long the store's client waits for the answer to a join.
 const JOIN_WITHIN: Duration = Duration::from_millis(1000);
 
-/// How the store treats one VM.
+/// The store's behaviour towards one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Treats {
-    /// As it should.
+    /// All calls are answered.
     #[default]
     Well,
-    /// A call that waits is never woken, only ended by its own time.
+    /// A waiting call is never woken and ends only by its timeout.
     Deaf,
-    /// No call is answered, nor is one that was under way, not even later.
+    /// No call is answered. Calls that were under way aren't answered later either.
     Silent,
     /// All calls are refused.
     Away,
@@ -36,21 +38,21 @@
 #[derive(Debug, Default)]
 pub(super) struct Treatment {
     now: Treats,
-    /// Counts the silences: a call that began before one is never answered.
+    /// The number of periods of silence. A call that began before one is never answered.
     silences: u64,
 }
 
-/// What the store does for all VMs together: one append at a time, and so many bytes a second.
+/// The store's capacity for all VMs together: one append at a time, and a number of entries per second.
 #[derive(Clone, Debug)]
 pub struct Turns(Arc<Mutex<Busy>>);
 
 #[derive(Debug)]
 struct Busy {
-    /// Entries that it reads out in a second; endless where a test doesn't care.
+    /// Entries that the store returns per second; infinite where a test doesn't need a limit.
     entries_per_s: f64,
     reads_until: Instant,
     appends_until: Instant,
-    /// What it was asked for: entries, and appends.
+    /// The number of requested entries and appends.
     entries: usize,
     appends: usize,
 }
@@ -73,36 +75,37 @@
         })))
     }
 
-    /// Gives the entries that were asked for so far, and the appends.
+    /// Returns the numbers of entries and appends requested so far.
     pub fn asked(&self) -> (usize, usize) {
-        let busy = self.0.lock().expect("sound");
+        let busy = self.0.lock().expect("the lock is not poisoned");
         (busy.entries, busy.appends)
     }
 
-    /// Waits for the turn of some entries, page by page. A page that doesn't come in time is given up; the store reads it out all the same.
+    /// Waits in the queue for the entries, page by page. The client gives up a page that takes too long,
+    /// and the store returns it all the same.
     async fn read(&self, entries: usize) -> Result<(), StoreError> {
         let mut left = entries;
         while left > 0 {
             let page = left.min(PAGE);
             left -= page;
             let wait = {
-                let mut busy = self.0.lock().expect("sound");
+                let mut busy = self.0.lock().expect("the lock is not poisoned");
                 busy.entries += page;
                 let took = at_rate(page, busy.entries_per_s);
                 busy.reads_until = busy.reads_until.max(Instant::now()) + took;
                 busy.reads_until - Instant::now()
             };
             if timeout(READ_WITHIN, sleep(wait)).await.is_err() {
-                return Err(late("newest"));
+                return Err(timed_out("newest"));
             }
         }
         Ok(())
     }
 
-    /// Waits for the turn of an append, which is turned away where too many wait.
+    /// Waits in the queue for an append. It is rejected if too many wait.
     async fn append(&self) -> Result<(), StoreError> {
         let wait = {
-            let mut busy = self.0.lock().expect("sound");
+            let mut busy = self.0.lock().expect("the lock is not poisoned");
             busy.appends += 1;
             let wait = busy.appends_until.saturating_duration_since(Instant::now());
             if wait > LONGEST_QUEUE {
@@ -124,7 +127,7 @@
     Duration::from_secs_f64(n as f64 / per_s)
 }
 
-fn late(call: &'static str) -> StoreError {
+fn timed_out(call: &'static str) -> StoreError {
     StoreError::NoAnswer {
         call,
         why: "timed out".to_owned(),
@@ -140,30 +143,30 @@
 }
 
 impl Link {
-    fn treats(&self) -> (Treats, u64) {
-        let t = self.treatment.lock().expect("sound");
+    fn current_treatment(&self) -> (Treats, u64) {
+        let t = self.treatment.lock().expect("the lock is not poisoned");
         (t.now, t.silences)
     }
 
     pub(super) fn set(&self, treats: Treats) {
-        let mut t = self.treatment.lock().expect("sound");
+        let mut t = self.treatment.lock().expect("the lock is not poisoned");
         t.now = treats;
         if treats == Treats::Silent {
             t.silences += 1;
         }
     }
 
-    /// Tells how the store treats this VM now.
+    /// Returns the store's current behaviour towards this VM.
     pub fn now(&self) -> Treats {
-        self.treats().0
+        self.current_treatment().0
     }
 
-    /// Carries a call out, as the store treats this VM.
+    /// Carries out a call, with the store's behaviour towards this VM.
     async fn call<T, F>(&self, call: F) -> Result<T, StoreError>
     where
         F: Future<Output = Result<T, StoreError>>,
     {
-        let (treats, silences) = self.treats();
+        let (treats, silences) = self.current_treatment();
         let res = match treats {
             Treats::Silent => pending().await,
             Treats::Away => Err(StoreError::Rejected {
@@ -172,7 +175,7 @@
             }),
             Treats::Well | Treats::Deaf => call.await,
         };
-        if self.treats().1 != silences {
+        if self.current_treatment().1 != silences {
             pending::<()>().await;
         }
         res
@@ -192,7 +195,7 @@
         from: LogPosition,
         wait: Duration,
     ) -> Result<Changes, StoreError> {
-        let is_deaf = self.treats().0 == Treats::Deaf;
+        let is_deaf = self.current_treatment().0 == Treats::Deaf;
         let call = self.call(async {
             if is_deaf {
                 let began = self.store.changes(feed, from, Duration::ZERO).await?;
@@ -203,7 +206,7 @@
             }
             self.store.changes(feed, from, wait).await
         });
-        // The store's client gives a call up this long after its wait.
+        // The store's client gives up a call this long after its wait.
         let given_up = timeout(wait + Duration::from_millis(1500), call).await;
         given_up.unwrap_or_else(|_| {
             Err(StoreError::NoAnswer {
@@ -221,7 +224,7 @@
     async fn join(&self, member: &str, generation: u64) -> Result<GroupAssignment, StoreError> {
         let call = self.call(self.store.join(member, generation));
         let given_up = timeout(JOIN_WITHIN, call).await;
-        given_up.unwrap_or_else(|_| Err(late("join")))
+        given_up.unwrap_or_else(|_| Err(timed_out("join")))
     }
 
     async fn leave(&self, _: &str) -> Result<(), StoreError> {
