--- a/crates/limehollow-node/tests/departures.rs
+++ b/crates/limehollow-node/tests/departures.rs
@@ -1,14 +1,13 @@
-//! An endpoint that leaves is out of use in time on every VM that reaches the store, whatever became of the others.
+//! A leaving endpoint is out of use in time on every VM that reaches the store, whatever happens to the
+//! other VMs.
 //!
-//! What users saw: with 71 VMs, requests reached an endpoint later than 3 s after it had said that it leaves.
-//! Order of events: the store acknowledges that the endpoint leaves; the VM that reads the list for its zone doesn't learn of
-//! it, since its waiting call is never answered, or it is gone, or turned away; the neighbours take their list
-//! for current, since nobody says otherwise. Or the VM learns that the entry is gone and still uses the endpoint
-//! for 2.5 s, since it has just got the store back itself.
-//! Cause: how old a VM's list may be had no bound, only the time until a call ended: 25 s for a reader of 71 VMs, 41 s for a
-//! neighbour that listens.
-//! Evidence: in played days the last VM knew 2.4 to 4.1 s after the first (`scripts/departures`), by the end of a
-//! hold or by another VM's state; below, each case by itself on the code as it was: up to a minute.
+//! Guards against lists whose age has no bound. With 71 VMs, requests reached an endpoint later than 3 s
+//! after it had announced that it leaves. The VM that read the list for its zone didn't learn of that, as
+//! its waiting call was never answered, or as it was gone or rejected, and the others took their list for
+//! current until a call ended: 25 s for a reader of 71 VMs, 41 s for another VM. In other runs a VM kept an
+//! endpoint whose entry was gone for another 2.5 s because it had just got the store back itself. In
+//! simulated days the last VM knew 2.4 to 4.1 s after the first (`scripts/departures`); the cases below
+//! took up to a minute each.
 
 mod rig;
 
@@ -20,55 +19,56 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A site: zones, VMs, the time in which an endpoint that leaves is out of use, and how long after a trouble the rules hold
-/// again, both in ms.
+/// A site: zones, VMs, the time in which a leaving endpoint has to be out of use, and how long after a
+/// disturbance the rules hold again, both in ms.
 #[derive(Clone, Copy, Debug)]
 struct Size {
     zones: usize,
     vms: usize,
     leaving_ms: u64,
-    calm_ms: u64,
+    recovery_ms: u64,
 }
 
-/// Today's small sites, the grown ones, and one of several hundred.
+/// Today's small sites, the grown ones, and one with 150 VMs.
 const SIZES: [Size; 3] = [
     Size {
         zones: 3,
         vms: 8,
         leaving_ms: 2000,
-        calm_ms: 3000,
+        recovery_ms: 3000,
     },
     Size {
         zones: 3,
         vms: 71,
         leaving_ms: 3000,
-        calm_ms: 4000,
+        recovery_ms: 4000,
     },
     Size {
         zones: 5,
         vms: 150,
         leaving_ms: 4000,
-        calm_ms: 5000,
+        recovery_ms: 5000,
     },
 ];
 
-/// What a request that was chosen just before takes of that time, in ms: a new connection, and the way.
-const ON_THE_WAY_MS: u64 = 250;
+/// The part of that time for a request whose endpoint was chosen just before, in ms: a new connection and
+/// the network.
+const IN_FLIGHT_MS: u64 = 250;
 
 impl Size {
     async fn start(self) -> Fleet {
         Fleet::start(self.zones, self.vms, self.leaving_ms, 6).await
     }
 
-    fn calm(self) -> Duration {
-        Duration::from_millis(self.calm_ms)
+    fn recovery_time(self) -> Duration {
+        Duration::from_millis(self.recovery_ms)
     }
 
     fn bound(self) -> Duration {
-        Duration::from_millis(self.leaving_ms.saturating_sub(ON_THE_WAY_MS))
+        Duration::from_millis(self.leaving_ms.saturating_sub(IN_FLIGHT_MS))
     }
 
-    /// Checks that nothing is sent to an endpoint any more in time, counted from now.
+    /// Checks that within the allowed time from now nothing is sent to an endpoint any more.
     async fn check(self, case: &str, fleet: &Fleet, endpoint: usize) {
         let (took, last) = fleet.out_of_use(endpoint).await;
         assert!(
@@ -80,7 +80,7 @@
 }
 
 impl Size {
-    /// Checks that a configuration is in force in time on all VMs, counted from now.
+    /// Checks that within the allowed time from now a configuration is in force on all VMs.
     async fn check_configuration(self, case: &str, fleet: &Fleet, version: u64) {
         let took = fleet.in_force(version).await;
         assert!(
@@ -96,14 +96,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn leave_readers_in_trouble() {
+async fn leave_disturbed_readers() {
     for size in SIZES {
-        readers_in_trouble(size).await;
+        disturbed_readers(size).await;
         readers_gone(size).await;
     }
 }
 
-async fn readers_in_trouble(size: Size) {
+async fn disturbed_readers(size: Size) {
     let fleet = size.start().await;
     fleet.leave(1);
     size.check("calm", &fleet, 1).await;
@@ -114,10 +114,10 @@
     size.check("calls are never woken", &fleet, 2).await;
     fleet.treat_all(Treats::Well);
 
-    // Connections that go silent for good, and new ones that work.
+    // Existing connections get no answers any more; new ones work.
     fleet.treat_all(Treats::Silent);
     fleet.treat_all(Treats::Well);
-    sleep(size.calm()).await;
+    sleep(size.recovery_time()).await;
     fleet.leave(3);
     size.check("calls under way are never answered", &fleet, 3)
         .await;
@@ -137,7 +137,7 @@
     fleet.leave(1);
     size.check("readers are gone", &fleet, 1).await;
 
-    // The zone that is cut off still reaches the store, but its reader doesn't.
+    // The zone that is cut off from the others still reaches the store, but its reader doesn't.
     let cut = fleet.zone(1);
     fleet.cut(1);
     fleet.treat(&cut[..2], Treats::Silent);
@@ -148,36 +148,37 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn leave_zone_turned_away() {
-    // No VM of a zone can read the store; other zones can, and hand their state over.
+async fn leave_zone_rejected() {
+    // No VM of a zone can read the store. VMs of other zones can, and hand over their state.
     for size in SIZES {
         for treats in [Treats::Away, Treats::Silent] {
             let fleet = size.start().await;
             fleet.treat(&fleet.zone(0), treats);
-            sleep(size.calm()).await;
+            sleep(size.recovery_time()).await;
             fleet.leave(1);
             size.check("a zone is turned away", &fleet, 1).await;
         }
     }
 }
 
-/// How many seeds of any trouble are played with 8 VMs and with 71: a seed of 71 takes half a minute of one core.
+/// The number of seeds for random disturbances with 8 VMs and with 71. One seed with 71 VMs takes half a
+/// minute of one core.
 const SEEDS: [u64; 2] = [12, 1];
 
 #[tokio::test(start_paused = true)]
-async fn leave_any_trouble() {
-    // Whatever became of the others: who has reached the store for long enough is in time.
+async fn leave_random_disturbances() {
+    // Whatever happens to the others, each VM that has reached the store for long enough is in time.
     for (size, seeds) in SIZES.into_iter().zip(SEEDS) {
         for seed in 0..seeds {
-            any_trouble(size, seed).await;
+            random_disturbances(size, seed).await;
         }
     }
 }
 
-async fn any_trouble(size: Size, seed: u64) {
+async fn random_disturbances(size: Size, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = size.start().await;
-    let calm = size.calm();
+    let calm = size.recovery_time();
     let mut well_since = vec![Instant::now(); size.vms];
     for endpoint in 1..6 {
         let share = rng.random_range(0.0..0.95);
@@ -207,7 +208,7 @@
         let left = Instant::now();
         sleep(size.bound()).await;
         for (vm, since) in well_since.iter().enumerate() {
-            // In touch since before the endpoint left; what is learnt before that has no bound.
+            // The VM has been in touch since before the endpoint left. Before that, its time has no bound.
             let is_well = fleet.vms[vm].link.now() == Treats::Well && *since + calm <= left;
             assert!(
                 !is_well || !fleet.uses(vm, endpoint),
@@ -220,8 +221,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn configuration_calls_in_trouble() {
-    // The same cause on the way of the configuration: calls that wait and are never answered.
+async fn configuration_disturbed_calls() {
+    // The same cause for the configuration: waiting calls that are never answered.
     for size in SIZES {
         let fleet = size.start().await;
         fleet.configure(1);
@@ -237,7 +238,7 @@
         sleep(Duration::from_secs(30)).await;
         fleet.treat_all(Treats::Silent);
         fleet.treat_all(Treats::Well);
-        sleep(size.calm()).await;
+        sleep(size.recovery_time()).await;
         fleet.configure(3);
         size.check_configuration("calls under way are never answered", &fleet, 3)
             .await;
@@ -251,11 +252,11 @@
         fleet.treat_all(Treats::Silent);
         sleep(Duration::from_millis(2500)).await;
         fleet.treat_all(Treats::Well);
-        sleep(size.calm()).await;
+        sleep(size.recovery_time()).await;
         fleet.vanish(1);
         size.check("after an outage of the store", &fleet, 1).await;
 
-        // A reader that alone was turned away gets the store back as an entry goes.
+        // A reader that alone was rejected gets the store back as an entry is removed.
         let leader = leaders(&fleet)[0];
         fleet.treat(&[leader], Treats::Away);
         sleep(Duration::from_millis(700)).await;
@@ -268,9 +269,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn vanish_as_the_store_comes_back() {
-    // All VMs lose a sound store and get it back as an entry goes. Three seconds later the rules hold for them again, and nobody may use
-    // the endpoint: the time for which lapsed entries may come back counts from the store's return, not from when the last retry
-    // found it. On a played day nine VMs in lockstep found it 0.7 s late, and held the removal back until 3.3 s after it.
+    // All VMs lose a healthy store and get it back as an entry is removed. Three seconds later the rules
+    // hold for them again, and no VM may use the endpoint: the time for which vanished entries may reappear
+    // counts from the store's return, not from the retry that found it. In a simulated run nine VMs in
+    // lockstep found it 0.7 s late, and held the removal back until 3.3 s after it.
     let small = (4000..6000).step_by(250).map(|ms| (SIZES[0], ms));
     for (size, silent_ms) in small.chain([(SIZES[1], 4500)]) {
         let fleet = size.start().await;
@@ -278,7 +280,7 @@
         sleep(Duration::from_millis(silent_ms)).await;
         fleet.treat_all(Treats::Well);
         fleet.vanish(1);
-        sleep(size.calm()).await;
+        sleep(size.recovery_time()).await;
         let using: Vec<usize> = (0..fleet.vms.len()).filter(|i| fleet.uses(*i, 1)).collect();
         assert!(
             using.is_empty(),
@@ -290,8 +292,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn vanish_while_vms_restart() {
-    // A VM that has just started has had answers from the store for a moment only; that is no sign of an outage. On a grown
-    // site, half of whose VMs were restarted one by one, 62 VMs held removals back for up to 6.6 s.
+    // A VM that has just started has had answers from the store for only a moment. That doesn't indicate an
+    // outage. On a grown site, half of whose VMs were restarted one by one, 62 VMs held removals back for
+    // up to 6.6 s.
     for size in SIZES {
         let mut fleet = size.start().await;
         for i in 0..8 {
@@ -311,14 +314,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn lapse_in_an_outage() {
-    // Entries that lapse while the store is away and come back within two seconds of its return are in use all the time,
-    // on VMs that were told of the outage by others only, too: on a played day 71 VMs dropped living endpoints 5,311 times.
+    // Entries that lapse while the store is away and reappear within two seconds of its return are in use
+    // all the time, also on VMs that know of the outage only from others. In a simulated run 71 VMs dropped
+    // living endpoints 5,311 times.
     for size in SIZES {
         let fleet = size.start().await;
         fleet.treat_all(Treats::Silent);
         sleep(Duration::from_millis(2500)).await;
         fleet.vanish(1);
-        // The first to have the store back is one to which no other zone listens.
+        // The first VM to have the store back is one whose messages no other zone gets.
         let first = *fleet.zone(1).last().expect("a zone has VMs");
         fleet.treat(&[first], Treats::Well);
         fleet.always_used(1, Duration::from_millis(700)).await;
@@ -330,9 +334,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn vanish_behind_a_state() {
-    // The store comes back for all but some, and an entry has lapsed. Who takes another's state doesn't take what the
-    // other only holds back: it would never hear of the removal again.
+async fn vanish_with_a_peer_state() {
+    // The store comes back for all VMs but some, and an entry has lapsed. A VM that applies another VM's
+    // state must not apply entries whose removal the other VM only holds back: it would never receive the
+    // removal.
     for size in SIZES {
         let fleet = size.start().await;
         fleet.treat_all(Treats::Away);
@@ -340,12 +345,12 @@
         fleet.vanish(1);
         let back: Vec<usize> = (0..fleet.vms.len()).filter(|i| i % 2 == 0).collect();
         fleet.treat(&back, Treats::Well);
-        sleep(Duration::from_millis(2500) + size.calm()).await;
+        sleep(Duration::from_millis(2500) + size.recovery_time()).await;
         size.check("behind another VM's state", &fleet, 1).await;
     }
 }
 
-/// Two minutes with three new configurations, of one zone as large as that of a site of 300 VMs.
+/// Two minutes with three new configurations, in one zone as large as that of a site of 300 VMs.
 #[tokio::test(start_paused = true)]
 async fn configuration_costs_few_calls_a_vm() {
     let vms = 60;
@@ -358,7 +363,7 @@
         sleep(Duration::from_secs(40)).await;
     }
     let calls = fleet.store.calls(Feed::Configuration) - before;
-    // The reader's own pace, two VMs that wait, and a call for each change and VM.
+    // The reader's own interval, two VMs with waiting calls, and a call for each change and VM.
     let reader = 120.0 / (4.0 * 0.45);
     let bound = reader + 30.0 + 3.0 * f64::from(u32::try_from(vms).expect("it is small"));
     assert!(
@@ -367,8 +372,8 @@
     );
 }
 
-/// Tells all VMs of the first zone that another one, which is of another zone, has read the configuration much further.
-fn misled(fleet: &Fleet, by: usize) {
+/// Has all VMs of the first zone record that a VM of another zone has read the configuration much further.
+fn claim_further_position(fleet: &Fleet, by: usize) {
     let name = fleet.vms[by].site.own_vm.as_str().into();
     let ahead = (name, LogPosition::new(0, 999));
     for i in fleet.zone(0) {
@@ -378,17 +383,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn configuration_while_the_vm_that_is_ahead_hands_nothing_over() {
+async fn configuration_while_the_furthest_vm_has_no_state() {
     for size in SIZES {
         let fleet = size.start().await;
         fleet.configure(1);
-        sleep(size.calm()).await;
+        sleep(size.recovery_time()).await;
         let other = fleet.zone(1)[1];
         fleet.set_still(other, true);
-        misled(&fleet, other);
+        claim_further_position(&fleet, other);
         fleet.configure(2);
         let took = fleet.in_force_in(0, 2).await;
-        // The store is asked before half of the time is over.
+        // The store is read before half of the time is over.
         assert!(took <= size.bound() / 2, "{} VMs: after {took:?}", size.vms);
     }
 }
