--- a/crates/limehollow-node/tests/evacuation.rs
+++ b/crates/limehollow-node/tests/evacuation.rs
@@ -1,4 +1,5 @@
-//! Zones whose endpoints get no new work by the operators' word, and requests that may run in some regions only.
+//! Zones whose endpoints get no new work because operators evacuated them, and requests that may run only
+//! in some regions.
 
 mod rig;
 
@@ -42,7 +43,7 @@
     view.roster.evacuated().map(ToString::to_string).collect()
 }
 
-/// A gateway before one endpoint in each zone.
+/// Starts a gateway with one endpoint in each zone.
 async fn gateway(rule: Rule, zones: &[&str]) -> (Gateway, Vec<Server>) {
     let site = site();
     site.set_catalog(catalog(1, vec![rule]));
@@ -82,7 +83,7 @@
         sleep(SOON).await;
         assert_eq!(evacuated(&site), expected);
     }
-    // A record that went with the history is gone as well.
+    // A record that was lost with the history ends as well.
     store.compact(vec![Change::Catalog(Box::new(catalog(1, Vec::new())))]);
     sleep(SOON * 10).await;
     assert!(evacuated(&site).is_empty());
@@ -112,14 +113,14 @@
 }
 
 #[tokio::test]
-async fn evacuated_zone_gets_nothing_until_it_is_taken_back() {
+async fn evacuated_zone_gets_no_work_until_it_is_back() {
     let (g, servers) = gateway(rule("/draft/", Repeat::Never, 1), &["a", "b"]).await;
     g.site.view().roster.set_evacuated(&"a".into(), true);
     for _ in 0..5 {
         assert_eq!(status(&g.ask("/draft/1", "").await), 200);
     }
     assert_eq!((servers[0].requests(), servers[1].requests()), (0, 5));
-    // Where all are evacuated, the caller is refused at once.
+    // If all zones are evacuated, the request is refused at once.
     g.site.view().roster.set_evacuated(&"b".into(), true);
     let refused = g.ask("/draft/1", "").await;
     assert_eq!(status(&refused), 503);
@@ -146,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn request_runs_at_home_only() {
+async fn request_runs_in_its_regions_only() {
     for (homes, expected) in [
         (vec![], [6, 0]),
         (vec!["north"], [6, 0]),
@@ -167,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn request_without_an_endpoint_at_home_is_refused_at_once() {
+async fn request_without_an_endpoint_in_its_regions_is_refused_at_once() {
     let at_home = Rule {
         homes: vec!["west".into()],
         ..rule("/draft/", Repeat::Never, 1)
