--- a/crates/limehollow-node/tests/feed_reads.rs
+++ b/crates/limehollow-node/tests/feed_reads.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of its own copies, and what it tells of them.
+//! The freshness of a VM's own copies, and the ages that it sends to others.
 
 use limehollow::freshness::Freshness;
 use limehollow_node::edge::Feed;
@@ -13,13 +13,14 @@
     start + Duration::from_millis(ms)
 }
 
-fn told_age(r: &FeedReads, now: Instant) -> Option<u32> {
+fn own_age(r: &FeedReads, now: Instant) -> Option<u32> {
     r.own_ages(now).endpoints.map(|a| a.complete_ms)
 }
 
 #[tokio::test]
-async fn told_only_what_was_read_here() {
-    // Ages that are told on lose the time of the way at each VM: nobody would find the list old any more.
+async fn own_ages_count_only_own_reads() {
+    // An age that is sent on loses the network delay at each VM, so that no VM would ever find its list too
+    // old.
     let t = Instant::now();
     let mut r = FeedReads::default();
     r.record_read(LIST, t, GAP);
@@ -27,32 +28,32 @@
     let now = at(t, 1100);
     let age = r.freshness(LIST).map(|f| f.age(now));
     assert_eq!(age, Some(Duration::from_millis(100)));
-    assert_eq!(told_age(&r, now), Some(1101));
-    let of_state = r.state_ages(now).endpoints;
-    assert_eq!(of_state.map(|a| a.complete_ms), Some(101));
+    assert_eq!(own_age(&r, now), Some(1101));
+    let state_ages_of_list = r.state_ages(now).endpoints;
+    assert_eq!(state_ages_of_list.map(|a| a.complete_ms), Some(101));
 }
 
 #[tokio::test]
-async fn told_nothing_while_reads_fail() {
+async fn own_ages_none_while_reads_fail() {
     let t = Instant::now();
     let mut r = FeedReads::default();
-    assert_eq!(told_age(&r, t), None);
+    assert_eq!(own_age(&r, t), None);
     r.record_read(LIST, t, GAP);
     r.record_failure(LIST, at(t, 500));
     assert!(r.is_failing(LIST));
-    assert_eq!(told_age(&r, at(t, 600)), None);
+    assert_eq!(own_age(&r, at(t, 600)), None);
     r.record_read(LIST, at(t, 700), GAP);
-    assert_eq!(told_age(&r, at(t, 700)), Some(1));
+    assert_eq!(own_age(&r, at(t, 700)), Some(1));
 }
 
 #[tokio::test]
-async fn read_after_failures_begins_anew() {
+async fn record_read_after_failures_restarts() {
     let t = Instant::now();
     for (others_read_at, healthy_since) in [(0, 900), (600, 0)] {
         let mut r = FeedReads::default();
         r.record_read(LIST, t, GAP);
         r.record_failure(LIST, at(t, 500));
-        // Where another VM read on after the failure, it was this VM's own.
+        // Where another VM read on after the failure, only this VM's read had failed.
         r.merge(LIST, Freshness::new(at(t, others_read_at), t), true, GAP);
         r.record_read(LIST, at(t, 900), GAP);
         let f = r.freshness(LIST).expect("it was read");
@@ -61,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn read_after_a_long_gap_begins_anew() {
+async fn record_read_after_a_long_gap_restarts() {
     let t = Instant::now();
     let mut r = FeedReads::default();
     r.record_read(LIST, t, GAP);
@@ -71,13 +72,13 @@
 }
 
 #[tokio::test]
-async fn meet_before_anything_was_read() {
+async fn merge_before_the_first_read() {
     let t = Instant::now();
-    let told = Freshness::new(at(t, 1000), t);
+    let reported = Freshness::new(at(t, 1000), t);
     let mut r = FeedReads::default();
-    r.merge(LIST, told, false, GAP);
+    r.merge(LIST, reported, false, GAP);
     assert_eq!(r.freshness(LIST), None);
-    r.merge(LIST, told, true, GAP);
-    assert_eq!(r.freshness(LIST), Some(told));
-    assert_eq!(told_age(&r, at(t, 1000)), None);
+    r.merge(LIST, reported, true, GAP);
+    assert_eq!(r.freshness(LIST), Some(reported));
+    assert_eq!(own_age(&r, at(t, 1000)), None);
 }
