--- a/crates/limehollow-node/tests/following.rs
+++ b/crates/limehollow-node/tests/following.rs
@@ -51,7 +51,7 @@
         sleep(SOON).await;
         assert_eq!(version(&site), expected);
     }
-    // An older one that is read anew after the history was dropped is no news either.
+    // An older configuration that is read again after the history was dropped isn't applied either.
     store.compact(vec![configuration(4)]);
     sleep(SOON * 10).await;
     assert_eq!(version(&site), 9);
@@ -94,7 +94,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn call_that_is_never_woken() {
-    // A slow store may forget a call that waits: a change is in force in time all the same.
+    // A slow store may never wake a waiting call. A change is in force in time all the same.
     let store = Memory::default();
     store.set_deaf();
     let site = start(&store);
@@ -107,7 +107,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn call_that_is_never_woken_of_many() {
-    // With many VMs each asks seldom; the first that has read on wakes the others.
+    // With many VMs each calls rarely. The first VM that has read further wakes the others.
     let store = Memory::default();
     store.set_deaf();
     let site = start(&store);
@@ -136,8 +136,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn large_configuration_on_a_slow_link() {
-    // The answer takes longer than a VM waits when it hears that others have read on, and they say it
-    // again and again: the read that is under way goes on.
+    // The answer takes longer than a VM waits after it learned that others have read further, and they
+    // repeat that: the read continues.
     let store = Memory::default();
     let site = start(&store);
     store.add(Feed::Configuration, configuration(3));
@@ -170,7 +170,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn answer_that_is_overtaken() {
-    // An answer is on its way while another VM's changes, which go further, arrive: what they took away stays away.
+    // An answer is on its way while another VM's later changes arrive. What those removed stays removed.
     for phase in 0..14 {
         let store = Memory::default();
         let site = start(&store);
@@ -191,7 +191,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn endpoint_that_lapsed_in_an_outage() {
-    // Both entries lapse while the store is away; one endpoint lists itself again.
+    // Both entries lapse while the store is away. One endpoint writes its entry again.
     let store = Memory::default();
     let site = start(&store);
     store.add(Feed::Endpoints, listed(1));
