--- a/crates/limehollow-node/tests/lease_over_outage.rs
+++ b/crates/limehollow-node/tests/lease_over_outage.rs
@@ -1,4 +1,4 @@
-//! The lease to give orders over an outage of the platform's store.
+//! The lease to give orders, over an outage of the platform's store.
 
 mod rig;
 
@@ -12,16 +12,16 @@
 
 const BETWEEN: Duration = Duration::from_secs(3);
 const OUTAGE: Duration = Duration::from_secs(6);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_EVERY: Duration = Duration::from_millis(20);
 
-/// Gives how long after an outage for some VMs the first, which has the lease, gives orders again.
-async fn ordering_after(vms: usize, away: &[usize]) -> Duration {
+/// Returns how long after an outage for some VMs the first VM, which has the lease, may give orders again.
+async fn time_to_orders(vms: usize, away: &[usize]) -> Duration {
     let fleet = Fleet::start(1, vms, 3000, 1).await;
     let vm = &fleet.vms[0];
     let lease: SharedLease = Arc::new(Mutex::new(GroupLease::new(BETWEEN)));
     let (_stop, stopped) = watch::channel(false);
     let (site, link) = (Arc::clone(&vm.site), vm.link.clone());
-    let kept = tokio::spawn(maintain_lease(site, link, Arc::clone(&lease), stopped));
+    let lease_task = tokio::spawn(maintain_lease(site, link, Arc::clone(&lease), stopped));
     sleep(Duration::from_secs(8)).await;
     assert_eq!(fence(&vm.site, &lease), Some(1));
     fleet.treat(away, Treats::Away);
@@ -30,27 +30,28 @@
     fleet.treat(away, Treats::Well);
     let back = Instant::now();
     while fence(&vm.site, &lease).is_none() && back.elapsed() < OUTAGE {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_EVERY).await;
     }
-    kept.abort();
+    lease_task.abort();
     back.elapsed()
 }
 
-/// Guards against seconds without orders after each outage: the holder waited as if another one could have had the lease.
+/// Guards against seconds without orders after each outage: the holder waited as if another VM could have
+/// had the lease.
 #[tokio::test(start_paused = true)]
 async fn orders_again_at_once_where_the_store_was_away_for_all() {
     for vms in [3, 8] {
         let all: Vec<usize> = (0..vms).collect();
-        let time = ordering_after(vms, &all).await;
+        let time = time_to_orders(vms, &all).await;
         assert!(time <= Duration::from_secs(1), "{time:?} with {vms} VMs");
     }
 }
 
-/// While others reach the store, one of them may have been dealt the lease.
+/// If other VMs reach the store, one of them may have been granted the lease.
 #[tokio::test(start_paused = true)]
 async fn orders_after_the_handover_where_others_reached_the_store() {
     for vms in [3, 8] {
-        let time = ordering_after(vms, &[0]).await;
+        let time = time_to_orders(vms, &[0]).await;
         assert!(time >= BETWEEN, "{time:?} with {vms} VMs");
     }
 }
