--- a/crates/limehollow-node/tests/left_alone.rs
+++ b/crates/limehollow-node/tests/left_alone.rs
@@ -1,4 +1,4 @@
-//! What a VM says when it is left alone and gets all callers of its zone.
+//! The messages of a VM that can reach no other VM and gets all callers of its zone.
 
 mod rig;
 
@@ -12,12 +12,12 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, advance, sleep, timeout_at};
 
-/// The bytes a second that all VMs' messages may cost each, by the sizing target.
-const MOST_BYTES_PER_S: usize = 12_000;
+/// The largest number of bytes per second that the messages may cost each VM, by the sizing target.
+const MAX_BYTES_PER_S: usize = 12_000;
 const NEIGHBOURS: u8 = 23;
 
-/// A VM with neighbours that were never heard, some time after its start.
-async fn alone() -> Arc<Site<Plain>> {
+/// Returns a VM with neighbours that it has never received anything from, some time after its start.
+async fn vm_with_silent_neighbours() -> Arc<Site<Plain>> {
     let own = "name = \"vm-0\"\navailability_zone = \"a\"\nip = \"127.0.0.1\"\npeer_port = 7000\n";
     let site = Site::new(parse_settings(own), Plain);
     for i in 1..=NEIGHBOURS {
@@ -32,16 +32,16 @@
 fn bytes(outgoing: Vec<Outgoing>) -> usize {
     let sizes = outgoing.into_iter().map(|(message, to)| {
         let datagram = Datagram::Message(Box::new(message));
-        encode(&datagram).expect("it can be written").len() * to.len()
+        encode(&datagram).expect("it can be encoded").len() * to.len()
     });
     sizes.sum()
 }
 
-/// Guards against a VM that fills its own link: each request for a model that is nowhere made it send all it knew to VMs that
-/// were dark.
+/// Guards against a VM that saturates its own link: for each request for a model that isn't loaded it sent
+/// a full update to VMs that were down.
 #[tokio::test(start_paused = true)]
-async fn bytes_with_hundreds_of_requests_for_what_is_nowhere() {
-    let site = alone().await;
+async fn bytes_with_hundreds_of_requests_for_unloaded_models() {
+    let site = vm_with_silent_neighbours().await;
     let waiting = Arc::clone(&site);
     tokio::spawn(async move {
         for i in 0.. {
@@ -54,10 +54,10 @@
         }
     });
     let mut sender = GossipSender::new(site);
-    let (wanted, end) = (Notify::new(), Instant::now() + Duration::from_secs(10));
+    let (wake_controller, end) = (Notify::new(), Instant::now() + Duration::from_secs(10));
     let mut sum = 0;
-    while let Ok(outgoing) = timeout_at(end, sender.next(&wanted)).await {
+    while let Ok(outgoing) = timeout_at(end, sender.next(&wake_controller)).await {
         sum += bytes(outgoing);
     }
-    assert!(sum <= 10 * MOST_BYTES_PER_S, "{sum} bytes in 10 s");
+    assert!(sum <= 10 * MAX_BYTES_PER_S, "{sum} bytes in 10 s");
 }
