--- a/crates/limehollow-node/tests/outbox.rs
+++ b/crates/limehollow-node/tests/outbox.rs
@@ -14,43 +14,43 @@
 }
 
 #[test]
-fn take_all_are_said_as_often() {
-    // A hundred endpoints change at once: none of them is pushed out by the others.
+fn next_batch_sends_all_equally_often() {
+    // A hundred endpoints change at once: no report is displaced by the others.
     let mut outbox = Outbox::default();
     for i in 0..100 {
         outbox.add(report(i, 1));
     }
-    let mut said: BTreeMap<SmolStr, usize> = BTreeMap::new();
+    let mut sent: BTreeMap<SmolStr, usize> = BTreeMap::new();
     loop {
         let reports = outbox.next_batch();
         if reports.is_empty() {
             break;
         }
         for r in reports {
-            *said.entry(r.instance.id).or_default() += 1;
+            *sent.entry(r.instance.id).or_default() += 1;
         }
     }
-    assert_eq!(said.len(), 100);
-    assert!(said.values().all(|n| *n == 5), "{said:?}");
+    assert_eq!(sent.len(), 100);
+    assert!(sent.values().all(|n| *n == 5), "{sent:?}");
 }
 
 #[test]
-fn take_new_ones_do_not_push_out_an_old_one() {
-    // As many come before each message as fit in one.
+fn next_batch_new_reports_do_not_displace_an_old_one() {
+    // As many new reports come before each message as fit into one.
     let mut outbox = Outbox::default();
     outbox.add(report(0, 1));
-    let mut was_said = false;
+    let mut was_sent = false;
     for round in 0..4 {
         for i in 1..=24 {
             outbox.add(report(round * 24 + i, 1));
         }
-        was_said |= outbox.next_batch().contains(&report(0, 1));
+        was_sent |= outbox.next_batch().contains(&report(0, 1));
     }
-    assert!(was_said);
+    assert!(was_sent);
 }
 
 #[test]
-fn take_new_report_replaces_the_old() {
+fn next_batch_new_report_replaces_the_old() {
     let mut outbox = Outbox::default();
     outbox.add(report(1, 1));
     assert_eq!(outbox.next_batch(), [report(1, 1)]);
@@ -59,6 +59,6 @@
 }
 
 #[test]
-fn take_nothing() {
+fn next_batch_empty() {
     assert_eq!(Outbox::default().next_batch(), []);
 }
