--- a/crates/limehollow-node/tests/restarts.rs
+++ b/crates/limehollow-node/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their ids, and entries that can't be read, as all VMs of a site see them.
+//! Endpoints that restart under their ids, and entries that can't be read, as all VMs of a site see them.
 
 mod rig;
 
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The time in which an endpoint that leaves has to be out of use.
+/// The time in which a leaving endpoint has to be out of use.
 const LEAVING_MS: u64 = 2000;
 const IN_TIME: Duration = Duration::from_millis(LEAVING_MS);
 
-fn start_of(i: usize, born: u64) -> Endpoint {
+fn entry_with_start(i: usize, born: u64) -> Endpoint {
     let e = endpoint(i, ([127, 0, 0, 1], 9000).into());
     Endpoint {
         instance: Instance {
@@ -44,7 +44,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry_goes_out_of_use_everywhere() {
-    // One VM a zone reads; a zone in which none can read asks another one for its state.
+    // One VM of each zone reads the list. A zone in which no VM can read asks another zone for its state.
     let fleet = Fleet::start(3, 9, LEAVING_MS, 3).await;
     fleet.treat(&fleet.zone(2), Treats::Away);
     sleep(Duration::from_secs(5)).await;
@@ -61,7 +61,7 @@
             v.site.own_vm
         );
     }
-    // A later good entry brings it back.
+    // A later valid entry brings the endpoint back.
     fleet.list(1);
     sleep(IN_TIME).await;
     fleet.always_used(1, Duration::from_secs(1)).await;
@@ -69,8 +69,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn unreadable_entry_goes_out_of_use_in_a_state() {
-    // All of a zone but one VM miss the change: it comes to them in a whole state, in the middle of an outage, when
-    // removals are held back. An entry that can't be read is no removal.
+    // All VMs of a zone but one miss the change. They get it with a full state in the middle of an outage,
+    // when removals are held back. An entry that can't be read isn't a removal.
     let fleet = Fleet::start(2, 6, LEAVING_MS, 2).await;
     fleet.treat(&fleet.zone(0), Treats::Away);
     sleep(Duration::from_secs(1)).await;
@@ -94,28 +94,28 @@
         .iter()
         .map(|v| v.site.metrics.unreadable_records.get())
         .collect();
-    assert_eq!(counted, [1; 4], "said once, however often it is written");
+    assert_eq!(counted, [1; 4], "logged once, however often it is written");
 }
 
 #[tokio::test(start_paused = true)]
 async fn later_start_is_used_after_the_former_left() {
     let fleet = Fleet::start(3, 9, LEAVING_MS, 1).await;
     let add = |e: Endpoint| fleet.store.add(Feed::Endpoints, Change::Endpoint(e));
-    add(start_of(5, 1_000));
+    add(entry_with_start(5, 1_000));
     sleep(IN_TIME).await;
     add(Endpoint {
         leaving: true,
-        ..start_of(5, 1_000)
+        ..entry_with_start(5, 1_000)
     });
     sleep(IN_TIME).await;
     assert_eq!(open_on(&fleet, "i-5"), [None; 9]);
-    add(start_of(5, 2_000));
+    add(entry_with_start(5, 2_000));
     sleep(IN_TIME).await;
     assert_eq!(open_on(&fleet, "i-5"), [Some(2_000); 9]);
-    // What the former start wrote before is read late, and changes nothing.
+    // What the former instance wrote before is read late, and changes nothing.
     add(Endpoint {
         leaving: true,
-        ..start_of(5, 1_000)
+        ..entry_with_start(5, 1_000)
     });
     sleep(IN_TIME).await;
     assert_eq!(open_on(&fleet, "i-5"), [Some(2_000); 9]);
@@ -123,7 +123,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn later_start_in_one_reading_with_the_end_of_the_former() {
-    // Without a word on its start only its entry's end tells one start from the next: neighbours have to hear of both.
+    // If the entries don't carry the start time, only the end of the first entry distinguishes the two
+    // instances, so the other VMs have to receive both changes.
     let fleet = Fleet::start(2, 6, LEAVING_MS, 1).await;
     fleet.leave(0);
     sleep(IN_TIME).await;
@@ -137,12 +138,12 @@
 async fn report_of_a_later_start_while_the_store_is_away() {
     let fleet = Fleet::start(2, 4, LEAVING_MS, 0).await;
     let add = |e: Endpoint| fleet.store.add(Feed::Endpoints, Change::Endpoint(e));
-    add(start_of(0, 1_000));
+    add(entry_with_start(0, 1_000));
     sleep(IN_TIME).await;
     fleet.treat_all(Treats::Silent);
     let site = &fleet.vms[1].site;
     let r = HoldingsReport {
-        instance: start_of(0, 2_000).instance,
+        instance: entry_with_start(0, 2_000).instance,
         holdings: [("m".into(), limehollow::roster::Held::default())].into(),
         orders_taken: 0,
     };
@@ -155,7 +156,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn gone_is_told_to_all_vms() {
-    // One VM finds that another start answers at an endpoint's address; the list still shows the former one.
+    // One VM finds that another instance answers at an endpoint's address. The list still shows the former
+    // one.
     let fleet = Fleet::start(3, 30, LEAVING_MS, 2).await;
     let site = &fleet.vms[29].site;
     let gone = endpoint(0, ([127, 0, 0, 1], 9000).into()).instance;
@@ -163,14 +165,16 @@
     let (took, last) = fleet.out_of_use(0).await;
     assert!(took <= Duration::from_millis(700), "{took:?} on {last}");
     fleet.always_used(1, Duration::from_secs(2)).await;
-    // It isn't told for ever, and a later start is used.
-    fleet
-        .store
-        .add(Feed::Endpoints, Change::Endpoint(start_of(0, 2_000)));
+    // The message isn't repeated forever, and a later instance is used.
+    fleet.store.add(
+        Feed::Endpoints,
+        Change::Endpoint(entry_with_start(0, 2_000)),
+    );
     fleet.vanish(0);
-    fleet
-        .store
-        .add(Feed::Endpoints, Change::Endpoint(start_of(0, 2_000)));
+    fleet.store.add(
+        Feed::Endpoints,
+        Change::Endpoint(entry_with_start(0, 2_000)),
+    );
     sleep(IN_TIME).await;
     assert_eq!(open_on(&fleet, "i-0"), [Some(2_000); 30]);
 }
