--- a/crates/limehollow-node/tests/store_return.rs
+++ b/crates/limehollow-node/tests/store_return.rs
@@ -1,5 +1,5 @@
-//! The store comes back from a copy some seconds old: what it acknowledged since is gone, and its positions go back and
-//! are given out again. All VMs follow what is written from then on, in time.
+//! The store is restored from a copy that is some seconds old. What it acknowledged since then is lost, and
+//! the positions since then are assigned again. All VMs follow later changes in time.
 
 mod rig;
 
@@ -10,16 +10,17 @@
 
 const ZONES: usize = 3;
 const ENDPOINTS: usize = 6;
-/// A site: VMs, and the time in which a change is in force.
+/// A site: the number of VMs, and the time in which a change has to be in force, in ms.
 const SIZES: [(usize, u64); 2] = [(8, 2000), (71, 3000)];
 /// How long the store is away, if it is, and how long after its return the rules hold again.
 const AWAY: Duration = Duration::from_millis(2500);
 const CALM: Duration = Duration::from_millis(3000);
 
-/// Starts a site, has its operators and endpoints write after the copy was made, and brings the store back from it.
+/// Starts a site, has its operators and endpoints write after the copy was made, and restores the store
+/// from the copy.
 ///
-/// The operators write the newest configuration again, and endpoints their entries.
-async fn returned(vms: usize, bound_ms: u64, away: Duration) -> Fleet {
+/// Then the operators write the newest configuration again, and endpoints write their entries again.
+async fn restored(vms: usize, bound_ms: u64, away: Duration) -> Fleet {
     let fleet = Fleet::start(ZONES, vms, bound_ms, ENDPOINTS).await;
     fleet.configure(1);
     sleep(CALM).await;
@@ -62,17 +63,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn follow_changes_after_the_store_came_back_from_a_copy() {
+async fn follow_changes_after_the_store_was_restored() {
     for (vms, bound_ms) in SIZES {
         for (case, away) in [("after an outage", AWAY), ("at once", Duration::ZERO)] {
-            let fleet = returned(vms, bound_ms, away).await;
+            let fleet = restored(vms, bound_ms, away).await;
             check_changes(case, &fleet, bound_ms).await;
             assert!(fleet.store.calls(Feed::Endpoints) > 0);
         }
     }
 }
 
-/// Starts a site of 8 VMs whose store lets them be for a while. Gives it, and how much a copy made now has.
+/// Starts a site of 8 VMs with a store that has been healthy for a while. Returns it, and the number of
+/// entries of a copy that is made now.
 async fn with_copy() -> (Fleet, usize) {
     let fleet = Fleet::start(ZONES, 8, 2000, ENDPOINTS).await;
     fleet.configure(1);
@@ -101,7 +103,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn endpoint_that_the_copy_lacks_and_nobody_writes_again_goes() {
+async fn endpoint_that_the_copy_lacks_is_dropped_if_not_written_again() {
     let (fleet, copy) = with_copy().await;
     fleet.list(ENDPOINTS);
     sleep(CALM).await;
@@ -142,7 +144,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn leaving_endpoint_whose_word_the_copy_lacks_is_not_used_again() {
+async fn leaving_endpoint_whose_announcement_the_copy_lacks_is_not_used_again() {
     let (fleet, copy) = with_copy().await;
     fleet.leave(0);
     sleep(CALM).await;
