--- a/crates/limehollow-node/tests/zone_summary.rs
+++ b/crates/limehollow-node/tests/zone_summary.rs
@@ -1,9 +1,9 @@
-//! What a zone says of its endpoints fits in datagrams, however many they are, and nothing of it is lost on the way.
+//! A zone summary fits into datagrams whatever the number of endpoints, and nothing of it is lost.
 //!
-//! What users saw: with many hundred endpoints in use in a zone, the other zones sent nothing there, and took its VMs for gone.
-//! Order of events: the sums of a zone name each endpoint in use; the message grows beyond what a datagram holds; the sending fails, and
-//! only a line at the lowest level says so. Cause: a message has no bound, a datagram has. Evidence: with 4,000 endpoints the message of
-//! a zone has some 200 kB.
+//! Guards against summaries that are too large for a datagram. With many hundred endpoints in use in a
+//! zone, the message exceeded the limit, sending failed with only a line at the lowest log level, and the
+//! other zones took the zone's VMs for gone and sent nothing there. With 4,000 endpoints the message of a
+//! zone has about 200 kB.
 
 mod rig;
 
@@ -20,8 +20,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most bytes of a datagram: some fragments of a usual link.
-const MOST_BYTES: usize = 16 << 10;
+/// The largest datagram: some fragments on a usual link.
+const MAX_BYTES: usize = 16 << 10;
 
 fn vm(name: &str, zone: &str, ip: &str, endpoints: usize) -> Arc<Site<Plain>> {
     let own = format!(
@@ -38,8 +38,9 @@
     endpoint(i, ([127, 0, 0, 1], 9000).into())
 }
 
-/// Has a VM say that its zone has requests at the endpoints of these numbers. Gives the messages to the other zone.
-fn sums(
+/// Has a VM report that its zone has requests at the endpoints with these numbers. Returns the messages to
+/// the other zone.
+fn summaries(
     from: &Arc<Site<Plain>>,
     sender: &mut GossipSender<Plain>,
     busy: std::ops::Range<usize>,
@@ -56,8 +57,8 @@
     zone.map(|(m, _)| m).collect()
 }
 
-/// Gives the endpoint to which another VM sends its next request.
-fn choice(site: &Site<Plain>) -> Option<Instance> {
+/// Returns the endpoint that another VM chooses for its next request.
+fn chosen_endpoint(site: &Site<Plain>) -> Option<Instance> {
     let view = site.view();
     let bounds = Bounds {
         kv_tokens: None,
@@ -74,7 +75,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn sums_of_a_zone_fit_in_datagrams() {
+async fn zone_summary_fits_in_datagrams() {
     for endpoints in [1, 30, 1_000, 4_000] {
         let here = vm("vm-1", "a", "127.0.0.1", endpoints);
         let there = vm("vm-2", "b", "127.0.0.2", endpoints);
@@ -85,21 +86,22 @@
             250,
         );
         let mut sender = GossipSender::new(Arc::clone(&here));
-        // All but the last are busy, then only the first half: what was said before must not stay.
+        // First all endpoints but the last are busy, then only the first half: the first summary must not
+        // persist.
         for (busy, free) in [
             (0..endpoints - 1, endpoints - 1..endpoints),
             (0..endpoints / 2, endpoints / 2..endpoints),
         ] {
             tokio::time::advance(Duration::from_millis(300)).await;
-            let messages = sums(&here, &mut sender, busy);
+            let messages = summaries(&here, &mut sender, busy);
             assert!(!messages.is_empty(), "{endpoints} endpoints");
             for m in messages {
                 let bytes = encode(&Datagram::Message(Box::new(m.clone())));
-                let bytes = bytes.expect("it can be written").len();
-                assert!(bytes <= MOST_BYTES, "{endpoints} endpoints: {bytes} B");
+                let bytes = bytes.expect("it can be encoded").len();
+                assert!(bytes <= MAX_BYTES, "{endpoints} endpoints: {bytes} B");
                 handle_message(&there, m);
             }
-            let chosen = choice(&there).expect("there are endpoints");
+            let chosen = chosen_endpoint(&there).expect("there are endpoints");
             let is_free = free.clone().any(|i| listed(i).instance == chosen);
             assert!(is_free, "{endpoints} endpoints: {chosen} is busy");
         }
