--- a/crates/limehollow-gateway/src/control.rs
+++ b/crates/limehollow-gateway/src/control.rs
@@ -1,7 +1,7 @@
 //! The thread of the control state: it follows the log and publishes the routing table.
 
-use crate::desk::Desk;
 use crate::metrics::Metrics;
+use crate::shared_admission::SharedAdmission;
 use arc_swap::ArcSwap;
 use limehollow::fleet::{Effect, Fleet};
 use limehollow::id::{Incarnation, Offset, VmName, ZoneName};
@@ -48,7 +48,7 @@
     replay: Replay,
     maker: TableBuilder,
     table: Arc<ArcSwap<Table>>,
-    desk: Arc<Desk>,
+    admission: Arc<SharedAdmission>,
     metrics: Metrics,
     ready: watch::Sender<Readiness>,
     listed_leaving: BTreeSet<VmName>,
@@ -66,7 +66,7 @@
     pub fn new(
         (name, zone, incarnation): (VmName, ZoneName, Incarnation),
         table: Arc<ArcSwap<Table>>,
-        desk: Arc<Desk>,
+        admission: Arc<SharedAdmission>,
         metrics: Metrics,
         ready: watch::Sender<Readiness>,
     ) -> Self {
@@ -77,7 +77,7 @@
             replay: Replay::default(),
             maker: TableBuilder::default(),
             table,
-            desk,
+            admission,
             metrics,
             ready,
             listed_leaving: BTreeSet::new(),
@@ -181,7 +181,7 @@
             if let (true, Some(key), Some(taken)) =
                 (same, self.maker.key(&l.vm), now.checked_sub(age))
             {
-                self.desk.with(|a| a.report(taken, key, l.report()));
+                self.admission.with(|a| a.report(taken, key, l.report()));
             }
         }
     }
@@ -195,9 +195,9 @@
         let table = self.maker.build(self.replay.fleet(), &leaving);
         self.table.store(Arc::new(table));
         let maker = &self.maker;
-        self.desk
+        self.admission
             .with(|a| a.retain_endpoints(|k| maker.contains(k)));
-        self.desk.turn();
+        self.admission.turn();
     }
 
     fn show(&self) {
@@ -205,7 +205,7 @@
         self.metrics
             .next_offset
             .set(i64::try_from(next.0).unwrap_or(i64::MAX));
-        let waiting = self.desk.with(|a| a.waiting());
+        let waiting = self.admission.with(|a| a.waiting());
         self.metrics
             .waiting
             .set(i64::try_from(waiting).unwrap_or(i64::MAX));
@@ -240,7 +240,7 @@
                 ))
             })
             .collect();
-        let waiting: Vec<_> = self.desk.with(|a| {
+        let waiting: Vec<_> = self.admission.with(|a| {
             a.waiting_by_subject()
                 .map(|(s, n)| json!({ "subject": format!("{s:?}"), "n": n }))
                 .collect()
@@ -266,7 +266,7 @@
             .targets
             .iter()
             .map(|t| {
-                self.desk.with(|a| {
+                self.admission.with(|a| {
                     json!({
                         "endpoint": t.name, "availability_zone": t.zone, "version": t.version,
                         "outstanding": a.loads().outstanding(t.key),
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -3,10 +3,10 @@
 use crate::answer::{Instead, REPLAYED, VERDICT};
 use crate::attempt::{head, whole};
 use crate::claims::{Claim, Claimed, Fate};
-use crate::desk::Slot;
 use crate::relay::Relay;
 use crate::request::Ask;
 use crate::shared::Shared;
+use crate::shared_admission::Slot;
 use bytes::Bytes;
 use limehollow::admission::{AdmissionRequest, Reason, Refusal, Subject};
 use limehollow::intent::Priority;
@@ -63,7 +63,7 @@
     /// The answer to give instead, with the verdict of all attempts.
     pub async fn admit(&self, shared: &Shared) -> Result<(Slot, Target), Instead> {
         let verdict = self.attempts.verdict;
-        let slot = shared.desk.admit(self.offer.clone()).await;
+        let slot = shared.admission.admit(self.offer.clone()).await;
         let slot = slot.map_err(|r| {
             if let Subject::Model(m) = &self.ask.subject {
                 shared.unmet.note(m);
@@ -315,7 +315,7 @@
     let now = Instant::now();
     let subject = &course.ask.subject;
     shared
-        .desk
+        .admission
         .with(|a| a.record_answer(subject, now - sent_at, Duration::ZERO, 1));
     let outcome = if now <= course.ask.terms.deadline {
         "attained"
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -15,11 +15,11 @@
 use limehollow_gateway::caller;
 use limehollow_gateway::claims::{ClaimTask, Claiming, Me};
 use limehollow_gateway::control::{Control, Event};
-use limehollow_gateway::desk::Desk;
 use limehollow_gateway::limit::Limited;
 use limehollow_gateway::metrics::Metrics;
 use limehollow_gateway::settings::GatewaySettings;
 use limehollow_gateway::shared::Shared;
+use limehollow_gateway::shared_admission::SharedAdmission;
 use limehollow_wire::peer::{Reply, Request};
 use poem::Server;
 use poem::listener::TcpAcceptor;
@@ -70,7 +70,7 @@
     let zone = ZoneName::from(settings.availability_zone.as_str());
     let vm = VmName::from(settings.name.as_str());
     let born = incarnation();
-    let desk = Desk::new(zone.clone(), Arc::clone(&table));
+    let admission = SharedAdmission::new(zone.clone(), Arc::clone(&table));
     let metrics = Metrics::default();
     let me = Me {
         vm: vm.clone(),
@@ -80,12 +80,18 @@
     let log = HttpLog::new(&settings.platform_address)?;
     let claims = ClaimTask::new(log.clone(), me, settings.claims, metrics.clone());
     let claiming = claims.claiming();
-    let (table2, desk2) = (Arc::clone(&table), Arc::clone(&desk));
-    let shared = Shared::new(settings, table2, desk2, claiming.clone(), metrics.clone())?;
+    let (table2, admission2) = (Arc::clone(&table), Arc::clone(&admission));
+    let shared = Shared::new(
+        settings,
+        table2,
+        admission2,
+        claiming.clone(),
+        metrics.clone(),
+    )?;
     let shared = Arc::new(shared);
 
     traffic.spawn(claims.run());
-    traffic.spawn(Arc::clone(&desk).run());
+    traffic.spawn(Arc::clone(&admission).run());
     traffic.spawn(follow_log(log, events_tx.clone()));
     let members = HttpMembers::new(&shared.settings.platform_address)?;
     traffic.spawn(follow_list(members, events_tx.clone()));
@@ -93,7 +99,7 @@
     traffic.spawn(answer_peers(shared.settings.peer_address.clone(), claiming));
     traffic.spawn(count_connections(Arc::clone(&shared)));
     let served = traffic.spawn(serve(Arc::clone(&shared), ready_rx, events_tx));
-    let state = Control::new((vm, zone, born), table, desk, metrics, ready_tx);
+    let state = Control::new((vm, zone, born), table, admission, metrics, ready_tx);
     control.block_on(state.run(events_rx));
     control.block_on(served).unwrap_or(Ok(()))
 }
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -6,9 +6,9 @@
 
 use crate::answer::Instead;
 use crate::attempt::{Head, head};
-use crate::desk::Slot;
 use crate::dispatch::{Course, gave_up};
 use crate::shared::Shared;
+use crate::shared_admission::Slot;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::Stream;
 use limehollow::load::AttemptOutcome;
@@ -183,7 +183,7 @@
         let (subject, tokens) = (self.course.ask.subject.clone(), self.delivered);
         let (to_first, rest) = (first - self.sent_at, now - first);
         self.shared
-            .desk
+            .admission
             .with(|a| a.record_answer(&subject, to_first, rest, tokens));
         let outcome = if now <= self.course.ask.terms.deadline {
             "attained"
--- a/crates/limehollow-gateway/src/shared.rs
+++ b/crates/limehollow-gateway/src/shared.rs
@@ -1,10 +1,10 @@
 //! What the traffic threads share.
 
 use crate::claims::Claiming;
-use crate::desk::Desk;
 use crate::limit::Connections;
 use crate::metrics::Metrics;
 use crate::settings::GatewaySettings;
+use crate::shared_admission::SharedAdmission;
 use arc_swap::ArcSwap;
 use limehollow::retry::RetryBudget;
 use limehollow::routing::Table;
@@ -26,7 +26,7 @@
     /// The routing table, read without a lock.
     pub table: Arc<ArcSwap<Table>>,
     /// Admission, and those who wait for it.
-    pub desk: Arc<Desk>,
+    pub admission: Arc<SharedAdmission>,
     /// Claims on keys.
     pub claiming: Claiming,
     /// The metrics.
@@ -52,14 +52,14 @@
     pub fn new(
         settings: GatewaySettings,
         table: Arc<ArcSwap<Table>>,
-        desk: Arc<Desk>,
+        admission: Arc<SharedAdmission>,
         claiming: Claiming,
         metrics: Metrics,
     ) -> limehollow_edge::Result<Self> {
         Ok(Self {
             settings,
             table,
-            desk,
+            admission,
             claiming,
             metrics,
             connections: Arc::default(),
--- a/crates/limehollow-gateway/src/desk.rs
+++ b/crates/limehollow-gateway/src/shared_admission.rs
@@ -26,7 +26,7 @@
 
 /// Admission for many threads.
 #[derive(Debug)]
-pub struct Desk {
+pub struct SharedAdmission {
     inner: Mutex<Inner>,
     table: Arc<ArcSwap<Table>>,
 }
@@ -34,7 +34,7 @@
 /// The right to have one request at an endpoint; it is given back when it is dropped.
 #[derive(Debug)]
 pub struct Slot {
-    desk: Arc<Desk>,
+    admission: Arc<SharedAdmission>,
     /// The endpoint.
     pub key: EndpointKey,
     ending: Option<AttemptOutcome>,
@@ -51,23 +51,23 @@
     fn drop(&mut self) {
         // Whoever drops it without a word did so because the caller left.
         let ending = self.ending.unwrap_or(AttemptOutcome::Cancelled);
-        self.desk
+        self.admission
             .lock()
             .admission
             .finish(Instant::now(), self.key, ending);
-        self.desk.turn();
+        self.admission.turn();
     }
 }
 
 /// A place in the queue; it is given up when it is dropped.
 struct Place {
-    desk: Arc<Desk>,
+    admission: Arc<SharedAdmission>,
     ticket: Ticket,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let mut inner = self.desk.lock();
+        let mut inner = self.admission.lock();
         if inner.waiters.remove(&self.ticket).is_some() {
             inner.admission.cancel(self.ticket);
         }
@@ -80,8 +80,8 @@
     Later(Place, oneshot::Receiver<Granted>),
 }
 
-impl Desk {
-    /// Makes the desk of a gateway in this zone.
+impl SharedAdmission {
+    /// Makes the admission of a gateway in this zone.
     #[must_use]
     pub fn new(zone: ZoneName, table: Arc<ArcSwap<Table>>) -> Arc<Self> {
         let inner = Inner {
@@ -147,7 +147,7 @@
                 inner.waiters.insert(ticket, tx);
                 First::Later(
                     Place {
-                        desk: Arc::clone(self),
+                        admission: Arc::clone(self),
                         ticket,
                     },
                     rx,
@@ -196,7 +196,7 @@
 
     fn slot(self: &Arc<Self>, key: EndpointKey) -> Slot {
         Slot {
-            desk: Arc::clone(self),
+            admission: Arc::clone(self),
             key,
             ending: None,
         }
