--- a/crates/limehollow-gateway/src/control.rs
+++ b/crates/limehollow-gateway/src/control.rs
@@ -197,7 +197,7 @@
         let maker = &self.maker;
         self.admission
             .with(|a| a.retain_endpoints(|k| maker.contains(k)));
-        self.admission.turn();
+        self.admission.poll_queue();
     }
 
     fn show(&self) {
--- a/crates/limehollow-gateway/src/shared_admission.rs
+++ b/crates/limehollow-gateway/src/shared_admission.rs
@@ -55,7 +55,7 @@
             .lock()
             .admission
             .finish(Instant::now(), self.key, ending);
-        self.admission.turn();
+        self.admission.poll_queue();
     }
 }
 
@@ -163,7 +163,7 @@
     }
 
     /// Gives the requests whose turn it is their slots, and refuses those that are too late.
-    pub fn turn(self: &Arc<Self>) {
+    pub fn poll_queue(self: &Arc<Self>) {
         let table = self.table.load();
         let mut inner = self.lock();
         if inner.admission.waiting() == 0 {
@@ -190,7 +190,7 @@
     pub async fn run(self: Arc<Self>) {
         loop {
             sleep(POLL_EVERY).await;
-            self.turn();
+            self.poll_queue();
         }
     }
 
