--- a/crates/limehollow-gateway/src/attempt.rs
+++ b/crates/limehollow-gateway/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at one endpoint.
 
-use crate::request::{Ask, REQUEST_ID, pass_on, value};
+use crate::request::{ParsedRequest, REQUEST_ID, pass_on, value};
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
 use limehollow::retry::Repeat;
@@ -35,33 +35,37 @@
 /// What happened, from which the verdict follows.
 pub async fn head(
     shared: &Shared,
-    ask: &Ask,
+    request: &ParsedRequest,
     target: &Target,
     resume: u32,
 ) -> Result<Head, Failure> {
-    let client = match ask.repeat {
+    let client = match request.repeat {
         Repeat::Allowed => &shared.client,
         Repeat::Never => &shared.once_client,
     };
-    let url = format!("http://{}{}", target.address, ask.path);
+    let url = format!("http://{}{}", target.address, request.path);
     let mut req = client
-        .request(ask.method.clone(), url)
-        .headers(ask.headers.clone())
-        .header(REQUEST_ID, value(&ask.terms.id));
-    if let Some(p) = ask.terms.priority {
+        .request(request.method.clone(), url)
+        .headers(request.headers.clone())
+        .header(REQUEST_ID, value(&request.terms.id));
+    if let Some(p) = request.terms.priority {
         req = req.header(PRIORITY, p.as_str());
     }
     if resume > 0 {
         req = req.header(RESUME_FROM, resume.to_string());
     }
-    let sent = timeout_at(ask.terms.deadline, req.body(ask.body.clone()).send()).await;
+    let sent = timeout_at(
+        request.terms.deadline,
+        req.body(request.body.clone()).send(),
+    )
+    .await;
     let res = match sent {
         Err(_) => return Err(Failure::Deadline),
         Ok(Err(e)) if e.is_connect() => return Err(Failure::Connect),
         Ok(Err(_)) => return Err(Failure::Broken),
         Ok(Ok(res)) => res,
     };
-    check_identity(&res, ask)?;
+    check_identity(&res, request)?;
     if res.headers().contains_key(NOT_RUN) {
         return Err(Failure::Refused);
     }
@@ -75,9 +79,9 @@
 }
 
 /// Refuses an answer that names another request: whatever came in between, it isn't ours to give.
-fn check_identity(res: &reqwest::Response, ask: &Ask) -> Result<(), Failure> {
+fn check_identity(res: &reqwest::Response, request: &ParsedRequest) -> Result<(), Failure> {
     match res.headers().get(REQUEST_ID) {
-        Some(id) if id.as_bytes() != ask.terms.id.as_bytes() => Err(Failure::Broken),
+        Some(id) if id.as_bytes() != request.terms.id.as_bytes() => Err(Failure::Broken),
         _ => Ok(()),
     }
 }
--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::Instead;
 use crate::dispatch::run;
-use crate::request::{self, Ask, Bad, REQUEST_ID, Terms, Waits, value};
+use crate::request::{self, Bad, ParsedRequest, REQUEST_ID, Terms, Waits, value};
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -158,9 +158,9 @@
         let terms = terms(shared, req, id)?;
         let body = read_body(shared, body).await?;
         let path = req.uri().path();
-        let ask = request::completion(terms, path, req.headers(), body);
-        let ask: Ask = ask.map_err(|bad| bad_request(&bad))?;
-        Ok(run(shared, ask).await)
+        let parsed = request::completion(terms, path, req.headers(), body);
+        let parsed: ParsedRequest = parsed.map_err(|bad| bad_request(&bad))?;
+        Ok(run(shared, parsed).await)
     })
     .await
 }
@@ -172,8 +172,8 @@
         let terms = terms(shared, req, id)?;
         let body = read_body(shared, body).await?;
         let path = service_path(req, &name);
-        let ask = request::service(terms, name, req.method().clone(), path, req.headers(), body);
-        Ok(run(shared, ask).await)
+        let parsed = request::service(terms, name, req.method().clone(), path, req.headers(), body);
+        Ok(run(shared, parsed).await)
     })
     .await
 }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::attempt::{head, whole};
 use crate::claims::{Claim, Claimed, Fate};
 use crate::relay::Relay;
-use crate::request::Ask;
+use crate::request::ParsedRequest;
 use crate::shared::Shared;
 use crate::shared_admission::Slot;
 use bytes::Bytes;
@@ -20,14 +20,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// After how long a caller should ask again for the result of a request that is under way.
+/// After how long a caller should request again for the result of a request that is under way.
 const RESULT_PAUSE: Duration = Duration::from_secs(1);
 
 /// A request on its way, with what was tried so far.
 #[derive(Debug)]
 pub struct Course {
     /// The request.
-    pub ask: Ask,
+    pub request: ParsedRequest,
     /// What admission is asked.
     pub offer: AdmissionRequest,
     /// The attempts.
@@ -37,20 +37,20 @@
 impl Course {
     /// Starts the course of a request.
     #[must_use]
-    pub fn new(ask: Ask, route: &Route) -> Self {
-        let priority = ask.terms.priority.unwrap_or(route.priority);
+    pub fn new(request: ParsedRequest, route: &Route) -> Self {
+        let priority = request.terms.priority.unwrap_or(route.priority);
         let offer = AdmissionRequest {
-            subject: ask.subject.clone(),
-            caller: ask.terms.caller.clone(),
+            subject: request.subject.clone(),
+            caller: request.terms.caller.clone(),
             priority,
-            deadline: ask.terms.deadline,
-            tokens: ask.tokens,
-            affinity: ask.affinity,
+            deadline: request.terms.deadline,
+            tokens: request.tokens,
+            affinity: request.affinity,
             failed: Vec::new(),
         };
-        let attempts = Attempts::new(ask.repeat, ask.terms.deadline);
+        let attempts = Attempts::new(request.repeat, request.terms.deadline);
         Self {
-            ask,
+            request,
             offer,
             attempts,
         }
@@ -65,13 +65,13 @@
         let verdict = self.attempts.verdict;
         let slot = shared.admission.admit(self.offer.clone()).await;
         let slot = slot.map_err(|r| {
-            if let Subject::Model(m) = &self.ask.subject {
+            if let Subject::Model(m) = &self.request.subject {
                 shared.unmet.note(m);
             }
             Instead::refused(&r, verdict)
         })?;
         let table = shared.table.load();
-        let target = route(&table, &self.ask.subject)
+        let target = route(&table, &self.request.subject)
             .and_then(|r| r.targets.iter().find(|t| t.key == slot.key).cloned());
         // The table may have changed since; an endpoint that is out of it gets no new work.
         let gone = Refusal {
@@ -86,7 +86,7 @@
     pub fn ended(&self, shared: &Shared, outcome: &'static str) {
         shared
             .metrics
-            .ended(self.ask.kind(), self.priority(), outcome);
+            .ended(self.request.kind(), self.priority(), outcome);
     }
 
     fn priority(&self) -> Priority {
@@ -146,10 +146,10 @@
 }
 
 /// Runs a request and gives its one answer.
-pub async fn run(shared: &Arc<Shared>, ask: Ask) -> Response {
+pub async fn run(shared: &Arc<Shared>, request: ParsedRequest) -> Response {
     let table = shared.table.load_full();
-    let Some(route) = route(&table, &ask.subject) else {
-        let (kind, name) = match &ask.subject {
+    let Some(route) = route(&table, &request.subject) else {
+        let (kind, name) = match &request.subject {
             Subject::Model(m) => ("model", m),
             Subject::Service(s) => ("service", s),
         };
@@ -161,12 +161,16 @@
         };
         return Instead::bad(StatusCode::NOT_FOUND, code, message).response();
     };
-    let key = ask.key_hash();
-    let course = Course::new(ask, route);
+    let key = request.key_hash();
+    let course = Course::new(request, route);
     let Some(key) = key else {
         return answer(shared, course, None).await;
     };
-    match shared.claiming.claim(key, course.ask.terms.deadline).await {
+    match shared
+        .claiming
+        .claim(key, course.request.terms.deadline)
+        .await
+    {
         Claimed::Mine(claim) => answer(shared, course, Some(claim)).await,
         Claimed::Other(fate) => repeat_answer(shared, &course, fate),
         Claimed::Undecided(after) => {
@@ -238,8 +242,8 @@
         if let Some(c) = &claim {
             c.dispatched();
         }
-        let failure = match head(shared, &course.ask, &target, 0).await {
-            Ok(h) if course.ask.stream && h.status.is_success() => {
+        let failure = match head(shared, &course.request, &target, 0).await {
+            Ok(h) if course.request.stream && h.status.is_success() => {
                 observe_first(shared, sent_at);
                 let (status, headers) = (h.status, h.headers.clone());
                 if let Some(c) = claim {
@@ -259,11 +263,11 @@
                 res.headers_mut().extend(headers);
                 return res;
             }
-            Ok(h) if is_engine_failure(&course.ask, h.status) => Failure::ServerError,
+            Ok(h) if is_engine_failure(&course.request, h.status) => Failure::ServerError,
             Ok(h) => {
                 observe_first(shared, sent_at);
                 let first = h.at - sent_at;
-                match whole(h, course.ask.terms.deadline).await {
+                match whole(h, course.request.terms.deadline).await {
                     Ok((status, headers, body)) => {
                         slot.finish(AttemptOutcome::Completed { first });
                         let w = Whole {
@@ -294,8 +298,8 @@
 }
 
 /// Tells whether a status is an engine's failure. A plain service's status is its own answer.
-fn is_engine_failure(ask: &Ask, status: StatusCode) -> bool {
-    matches!(ask.subject, Subject::Model(_)) && status.is_server_error()
+fn is_engine_failure(request: &ParsedRequest, status: StatusCode) -> bool {
+    matches!(request.subject, Subject::Model(_)) && status.is_server_error()
 }
 
 fn observe_first(shared: &Shared, sent_at: Instant) {
@@ -313,11 +317,11 @@
     sent_at: Instant,
 ) -> Response {
     let now = Instant::now();
-    let subject = &course.ask.subject;
+    let subject = &course.request.subject;
     shared
         .admission
         .with(|a| a.record_answer(subject, now - sent_at, Duration::ZERO, 1));
-    let outcome = if now <= course.ask.terms.deadline {
+    let outcome = if now <= course.request.terms.deadline {
         "attained"
     } else {
         "late"
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -120,7 +120,7 @@
             if self.buf.len() > MAX_EVENT {
                 return Err(Failure::Broken);
             }
-            let deadline = self.course.ask.terms.deadline;
+            let deadline = self.course.request.terms.deadline;
             match timeout_at(deadline, self.body.chunk()).await {
                 Err(_) => return Err(Failure::Deadline),
                 // The end without `[DONE]` isn't the end of an answer.
@@ -157,7 +157,7 @@
             }
             self.shared.metrics.retries.inc();
             self.shared.metrics.attempts.inc();
-            match head(&self.shared, &self.course.ask, &target, self.delivered).await {
+            match head(&self.shared, &self.course.request, &target, self.delivered).await {
                 Ok(h) if h.status.is_success() => {
                     self.shared.metrics.resumed.inc();
                     self.body = h.body;
@@ -180,12 +180,12 @@
                 first: first - self.sent_at,
             });
         }
-        let (subject, tokens) = (self.course.ask.subject.clone(), self.delivered);
+        let (subject, tokens) = (self.course.request.subject.clone(), self.delivered);
         let (to_first, rest) = (first - self.sent_at, now - first);
         self.shared
             .admission
             .with(|a| a.record_answer(&subject, to_first, rest, tokens));
-        let outcome = if now <= self.course.ask.terms.deadline {
+        let outcome = if now <= self.course.request.terms.deadline {
             "attained"
         } else {
             "late"
@@ -197,7 +197,7 @@
     /// Breaks the caller's connection off, once what was written last is on its way.
     async fn break_off(&self) {
         sleep(FLUSH_TIME).await;
-        if let Some(remote) = self.course.ask.terms.remote {
+        if let Some(remote) = self.course.request.terms.remote {
             self.shared.connections.cut(remote);
         }
     }
--- a/crates/limehollow-gateway/src/request.rs
+++ b/crates/limehollow-gateway/src/request.rs
@@ -87,7 +87,7 @@
 
 /// A request that was read.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ParsedRequest {
     /// What its headers say.
     pub terms: Terms,
     /// What it is for.
@@ -110,7 +110,7 @@
     pub repeat: Repeat,
 }
 
-impl Ask {
+impl ParsedRequest {
     /// Gives the hash of the caller's key with what it belongs to, if there is a key.
     #[must_use]
     pub fn key_hash(&self) -> Option<KeyHash> {
@@ -216,7 +216,12 @@
 /// # Errors
 ///
 /// [`Bad::Body`] says what is wrong and where.
-pub fn completion(terms: Terms, path: &str, headers: &HeaderMap, body: Bytes) -> Result<Ask, Bad> {
+pub fn completion(
+    terms: Terms,
+    path: &str,
+    headers: &HeaderMap,
+    body: Bytes,
+) -> Result<ParsedRequest, Bad> {
     #[derive(Deserialize)]
     struct Completion<'a> {
         model: SmolStr,
@@ -261,7 +266,7 @@
     } else {
         Repeat::Allowed
     };
-    Ok(Ask {
+    Ok(ParsedRequest {
         terms,
         subject: Subject::Model(c.model),
         method: Method::POST,
@@ -287,14 +292,14 @@
     path: SmolStr,
     headers: &HeaderMap,
     body: Bytes,
-) -> Ask {
+) -> ParsedRequest {
     let repeat = if terms.never_repeat || !method.is_idempotent() {
         Repeat::Never
     } else {
         Repeat::Allowed
     };
     let affinity = hash(terms.caller.as_bytes());
-    Ask {
+    ParsedRequest {
         terms,
         subject: Subject::Service(name),
         method,
