--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::Instead;
 use crate::dispatch::run;
-use crate::request::{self, Bad, ParsedRequest, REQUEST_ID, Terms, Waits, value};
+use crate::request::{self, ParseRequestError, ParsedRequest, REQUEST_ID, Terms, Waits, value};
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-fn bad_request(bad: &Bad) -> Instead {
+fn bad_request(bad: &ParseRequestError) -> Instead {
     Instead::bad(StatusCode::BAD_REQUEST, "invalid_request", bad.to_string())
 }
 
--- a/crates/limehollow-gateway/src/request.rs
+++ b/crates/limehollow-gateway/src/request.rs
@@ -47,7 +47,7 @@
 
 /// What is wrong with a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum Bad {
+pub enum ParseRequestError {
     /// A header has a value that it can't have.
     #[snafu(display("header {name}: {why}"))]
     Header {
@@ -144,8 +144,8 @@
 ///
 /// # Errors
 ///
-/// [`Bad::Header`] if the caller's can't be used.
-pub fn request_id(headers: &HeaderMap) -> Result<SmolStr, Bad> {
+/// [`ParseRequestError::Header`] if the caller's can't be used.
+pub fn request_id(headers: &HeaderMap) -> Result<SmolStr, ParseRequestError> {
     let given = text(headers, REQUEST_ID)?;
     Ok(given.unwrap_or_else(|| format_smolstr!("{:032x}", rand::random::<u128>())))
 }
@@ -163,13 +163,13 @@
 ///
 /// # Errors
 ///
-/// [`Bad::Header`] names the header and what would be valid.
+/// [`ParseRequestError::Header`] names the header and what would be valid.
 pub fn terms(
     headers: &HeaderMap,
     remote: Option<SocketAddr>,
     id: SmolStr,
     waits: &Waits,
-) -> Result<Terms, Bad> {
+) -> Result<Terms, ParseRequestError> {
     let arrived = Instant::now();
     let wait = match text(headers, DEADLINE)? {
         None => waits.default,
@@ -181,7 +181,7 @@
         Some(s) => match Priority::parse(&s) {
             Some(p) => Some(p),
             None => {
-                return bad(
+                return header_error(
                     PRIORITY,
                     format_smolstr!("must be high, normal or low, not {s:?}"),
                 );
@@ -191,7 +191,7 @@
     let never_repeat = match text(headers, REPEAT)?.as_deref() {
         None => false,
         Some("never") => true,
-        Some(s) => return bad(REPEAT, format_smolstr!("must be never, not {s:?}")),
+        Some(s) => return header_error(REPEAT, format_smolstr!("must be never, not {s:?}")),
     };
     let key = text(headers, KEY)?;
     // Callers are told apart by what they authenticate with; the hash keeps secrets out of dumps.
@@ -215,13 +215,13 @@
 ///
 /// # Errors
 ///
-/// [`Bad::Body`] says what is wrong and where.
+/// [`ParseRequestError::Body`] says what is wrong and where.
 pub fn completion(
     terms: Terms,
     path: &str,
     headers: &HeaderMap,
     body: Bytes,
-) -> Result<ParsedRequest, Bad> {
+) -> Result<ParsedRequest, ParseRequestError> {
     #[derive(Deserialize)]
     struct Completion<'a> {
         model: SmolStr,
@@ -234,18 +234,18 @@
         #[serde(borrow, default)]
         messages: Option<&'a serde_json::value::RawValue>,
     }
-    let c: Completion<'_> =
-        serde_json::from_slice(&body).map_err(|e| Bad::Body { why: e.to_string() })?;
+    let c: Completion<'_> = serde_json::from_slice(&body)
+        .map_err(|e| ParseRequestError::Body { why: e.to_string() })?;
     let content = match (c.prompt, c.messages, path) {
         (Some(p), _, "/v1/completions") => p.get(),
         (_, Some(m), "/v1/chat/completions") => m.get(),
         (.., "/v1/completions") => {
-            return Err(Bad::Body {
+            return Err(ParseRequestError::Body {
                 why: "prompt is missing".to_owned(),
             });
         }
         _ => {
-            return Err(Bad::Body {
+            return Err(ParseRequestError::Body {
                 why: "messages is missing".to_owned(),
             });
         }
@@ -255,7 +255,7 @@
         .or(c.max_completion_tokens)
         .unwrap_or(DEFAULT_TOKENS);
     if tokens == 0 || tokens > MAX_TOKENS {
-        return Err(Bad::Body {
+        return Err(ParseRequestError::Body {
             why: format!("max_tokens must be 1 to {MAX_TOKENS}"),
         });
     }
@@ -337,35 +337,35 @@
     out
 }
 
-fn text(headers: &HeaderMap, name: &'static str) -> Result<Option<SmolStr>, Bad> {
+fn text(headers: &HeaderMap, name: &'static str) -> Result<Option<SmolStr>, ParseRequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(v) = values.next() else {
         return Ok(None);
     };
     if values.next().is_some() {
-        return bad(name, "stands more than once".into());
+        return header_error(name, "stands more than once".into());
     }
     match v.to_str() {
         Ok(s) if !s.is_empty() && s.len() <= MAX_VALUE => Ok(Some(s.into())),
-        _ => bad(
+        _ => header_error(
             name,
             format_smolstr!("must be 1 to {MAX_VALUE} visible ASCII characters"),
         ),
     }
 }
 
-fn number(name: &'static str, s: &str, max: u64) -> Result<u64, Bad> {
+fn number(name: &'static str, s: &str, max: u64) -> Result<u64, ParseRequestError> {
     match s.parse() {
         Ok(n) if (1..=max).contains(&n) => Ok(n),
-        _ => bad(
+        _ => header_error(
             name,
             format_smolstr!("must be a whole number from 1 to {max}, not {s:?}"),
         ),
     }
 }
 
-fn bad<T>(name: &'static str, why: SmolStr) -> Result<T, Bad> {
-    Err(Bad::Header { name, why })
+fn header_error<T>(name: &'static str, why: SmolStr) -> Result<T, ParseRequestError> {
+    Err(ParseRequestError::Header { name, why })
 }
 
 fn hash(bytes: &[u8]) -> u64 {
