--- a/crates/limehollow-gateway/src/attempt.rs
+++ b/crates/limehollow-gateway/src/attempt.rs
@@ -47,18 +47,14 @@
     let mut req = client
         .request(request.method.clone(), url)
         .headers(request.headers.clone())
-        .header(REQUEST_ID, value(&request.terms.id));
-    if let Some(p) = request.terms.priority {
+        .header(REQUEST_ID, value(&request.meta.id));
+    if let Some(p) = request.meta.priority {
         req = req.header(PRIORITY, p.as_str());
     }
     if resume > 0 {
         req = req.header(RESUME_FROM, resume.to_string());
     }
-    let sent = timeout_at(
-        request.terms.deadline,
-        req.body(request.body.clone()).send(),
-    )
-    .await;
+    let sent = timeout_at(request.meta.deadline, req.body(request.body.clone()).send()).await;
     let res = match sent {
         Err(_) => return Err(Failure::Deadline),
         Ok(Err(e)) if e.is_connect() => return Err(Failure::Connect),
@@ -81,7 +77,7 @@
 /// Refuses an answer that names another request: whatever came in between, it isn't ours to give.
 fn check_identity(res: &reqwest::Response, request: &ParsedRequest) -> Result<(), Failure> {
     match res.headers().get(REQUEST_ID) {
-        Some(id) if id.as_bytes() != request.terms.id.as_bytes() => Err(Failure::Broken),
+        Some(id) if id.as_bytes() != request.meta.id.as_bytes() => Err(Failure::Broken),
         _ => Ok(()),
     }
 }
--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -2,7 +2,9 @@
 
 use crate::answer::Instead;
 use crate::dispatch::run;
-use crate::request::{self, ParseRequestError, ParsedRequest, REQUEST_ID, Terms, Waits, value};
+use crate::request::{
+    self, ParseRequestError, ParsedRequest, REQUEST_ID, RequestMeta, WaitLimits, value,
+};
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -76,14 +78,14 @@
     Instead::bad(StatusCode::BAD_REQUEST, "invalid_request", bad.to_string())
 }
 
-fn terms(shared: &Shared, req: &Request, id: SmolStr) -> Result<Terms, Instead> {
+fn parse_meta(shared: &Shared, req: &Request, id: SmolStr) -> Result<RequestMeta, Instead> {
     let remote = req.remote_addr().as_socket_addr().copied();
     let limits = &shared.settings.limits;
-    let waits = Waits {
+    let wait_limits = WaitLimits {
         default: Duration::from_millis(limits.default_deadline_ms),
         longest: Duration::from_millis(limits.idle_ms.saturating_sub(limits.idle_ms / 10)),
     };
-    request::terms(req.headers(), remote, id, &waits).map_err(|bad| bad_request(&bad))
+    request::parse_meta(req.headers(), remote, id, &wait_limits).map_err(|bad| bad_request(&bad))
 }
 
 /// Reads a body within the limits on size and time, and within the request's own deadline.
@@ -155,10 +157,10 @@
         if req.method() != "POST" {
             return Err(wrong_method("POST"));
         }
-        let terms = terms(shared, req, id)?;
+        let meta = parse_meta(shared, req, id)?;
         let body = read_body(shared, body).await?;
         let path = req.uri().path();
-        let parsed = request::completion(terms, path, req.headers(), body);
+        let parsed = request::completion(meta, path, req.headers(), body);
         let parsed: ParsedRequest = parsed.map_err(|bad| bad_request(&bad))?;
         Ok(run(shared, parsed).await)
     })
@@ -169,10 +171,10 @@
 async fn service(Data(shared): Data<&Arc<Shared>>, req: &Request, body: Body) -> Response {
     identified(shared, req, |id| async {
         let name: SmolStr = req.raw_path_param("name").unwrap_or_default().into();
-        let terms = terms(shared, req, id)?;
+        let meta = parse_meta(shared, req, id)?;
         let body = read_body(shared, body).await?;
         let path = service_path(req, &name);
-        let parsed = request::service(terms, name, req.method().clone(), path, req.headers(), body);
+        let parsed = request::service(meta, name, req.method().clone(), path, req.headers(), body);
         Ok(run(shared, parsed).await)
     })
     .await
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -38,17 +38,17 @@
     /// Starts the course of a request.
     #[must_use]
     pub fn new(request: ParsedRequest, route: &Route) -> Self {
-        let priority = request.terms.priority.unwrap_or(route.priority);
+        let priority = request.meta.priority.unwrap_or(route.priority);
         let offer = AdmissionRequest {
             subject: request.subject.clone(),
-            caller: request.terms.caller.clone(),
+            caller: request.meta.caller.clone(),
             priority,
-            deadline: request.terms.deadline,
+            deadline: request.meta.deadline,
             tokens: request.tokens,
             affinity: request.affinity,
             failed: Vec::new(),
         };
-        let attempts = Attempts::new(request.repeat, request.terms.deadline);
+        let attempts = Attempts::new(request.repeat, request.meta.deadline);
         Self {
             request,
             offer,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Waits for a slot at an endpoint.
+    /// WaitLimits for a slot at an endpoint.
     ///
     /// # Errors
     ///
@@ -168,7 +168,7 @@
     };
     match shared
         .claiming
-        .claim(key, course.request.terms.deadline)
+        .claim(key, course.request.meta.deadline)
         .await
     {
         Claimed::Mine(claim) => answer(shared, course, Some(claim)).await,
@@ -267,7 +267,7 @@
             Ok(h) => {
                 observe_first(shared, sent_at);
                 let first = h.at - sent_at;
-                match whole(h, course.request.terms.deadline).await {
+                match whole(h, course.request.meta.deadline).await {
                     Ok((status, headers, body)) => {
                         slot.finish(AttemptOutcome::Completed { first });
                         let w = Whole {
@@ -321,7 +321,7 @@
     shared
         .admission
         .with(|a| a.record_answer(subject, now - sent_at, Duration::ZERO, 1));
-    let outcome = if now <= course.request.terms.deadline {
+    let outcome = if now <= course.request.meta.deadline {
         "attained"
     } else {
         "late"
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -120,7 +120,7 @@
             if self.buf.len() > MAX_EVENT {
                 return Err(Failure::Broken);
             }
-            let deadline = self.course.request.terms.deadline;
+            let deadline = self.course.request.meta.deadline;
             match timeout_at(deadline, self.body.chunk()).await {
                 Err(_) => return Err(Failure::Deadline),
                 // The end without `[DONE]` isn't the end of an answer.
@@ -185,7 +185,7 @@
         self.shared
             .admission
             .with(|a| a.record_answer(&subject, to_first, rest, tokens));
-        let outcome = if now <= self.course.request.terms.deadline {
+        let outcome = if now <= self.course.request.meta.deadline {
             "attained"
         } else {
             "late"
@@ -197,7 +197,7 @@
     /// Breaks the caller's connection off, once what was written last is on its way.
     async fn break_off(&self) {
         sleep(FLUSH_TIME).await;
-        if let Some(remote) = self.course.request.terms.remote {
+        if let Some(remote) = self.course.request.meta.remote {
             self.shared.connections.cut(remote);
         }
     }
--- a/crates/limehollow-gateway/src/request.rs
+++ b/crates/limehollow-gateway/src/request.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Milliseconds that the caller still waits, counted from the request's arrival.
+/// Milliseconds that the caller still wait_limits, counted from the request's arrival.
 pub const DEADLINE: &str = "x-limehollow-deadline-ms";
 /// `high`, `normal` or `low`.
 pub const PRIORITY: &str = "x-limehollow-priority";
@@ -66,7 +66,7 @@
 
 /// What a request's headers say, whatever it is for.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RequestMeta {
     /// Its identity.
     pub id: SmolStr,
     /// When it arrived.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug)]
 pub struct ParsedRequest {
     /// What its headers say.
-    pub terms: Terms,
+    pub meta: RequestMeta,
     /// What it is for.
     pub subject: Subject,
     /// The method.
@@ -114,14 +114,14 @@
     /// Gives the hash of the caller's key with what it belongs to, if there is a key.
     #[must_use]
     pub fn key_hash(&self) -> Option<KeyHash> {
-        let key = self.terms.key.as_ref()?;
+        let key = self.meta.key.as_ref()?;
         let (kind, name) = match &self.subject {
             Subject::Model(m) => ("model", m),
             Subject::Service(s) => ("service", s),
         };
         let method = self.method.as_str();
         Some(key_hash(&[
-            self.terms.caller.as_str(),
+            self.meta.caller.as_str(),
             kind,
             name,
             method,
@@ -152,7 +152,7 @@
 
 /// How long callers wait.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
+pub struct WaitLimits {
     /// What a request that names no deadline gets.
     pub default: Duration,
     /// The longest: after it the silent connection would be closed, and with it the answer lost.
@@ -164,18 +164,18 @@
 /// # Errors
 ///
 /// [`ParseRequestError::Header`] names the header and what would be valid.
-pub fn terms(
+pub fn parse_meta(
     headers: &HeaderMap,
     remote: Option<SocketAddr>,
     id: SmolStr,
-    waits: &Waits,
-) -> Result<Terms, ParseRequestError> {
+    wait_limits: &WaitLimits,
+) -> Result<RequestMeta, ParseRequestError> {
     let arrived = Instant::now();
     let wait = match text(headers, DEADLINE)? {
-        None => waits.default,
+        None => wait_limits.default,
         Some(s) => Duration::from_millis(number(DEADLINE, &s, MAX_DEADLINE_MS)?),
     };
-    let wait = wait.min(waits.longest);
+    let wait = wait.min(wait_limits.longest);
     let priority = match text(headers, PRIORITY)? {
         None => None,
         Some(s) => match Priority::parse(&s) {
@@ -199,7 +199,7 @@
         Some(v) => format_smolstr!("auth-{:016x}", hash(v.as_bytes())),
         None => remote.map(|r| r.ip().to_smolstr()).unwrap_or_default(),
     };
-    Ok(Terms {
+    Ok(RequestMeta {
         id,
         arrived,
         deadline: arrived + wait,
@@ -217,7 +217,7 @@
 ///
 /// [`ParseRequestError::Body`] says what is wrong and where.
 pub fn completion(
-    terms: Terms,
+    meta: RequestMeta,
     path: &str,
     headers: &HeaderMap,
     body: Bytes,
@@ -261,13 +261,13 @@
     }
     let prefix = &content.as_bytes()[..content.len().min(PREFIX)];
     let affinity = hash(prefix) ^ hash(c.model.as_bytes());
-    let repeat = if terms.never_repeat {
+    let repeat = if meta.never_repeat {
         Repeat::Never
     } else {
         Repeat::Allowed
     };
     Ok(ParsedRequest {
-        terms,
+        meta,
         subject: Subject::Model(c.model),
         method: Method::POST,
         path: path.into(),
@@ -286,21 +286,21 @@
 /// doesn't say so.
 #[must_use]
 pub fn service(
-    terms: Terms,
+    meta: RequestMeta,
     name: SmolStr,
     method: Method,
     path: SmolStr,
     headers: &HeaderMap,
     body: Bytes,
 ) -> ParsedRequest {
-    let repeat = if terms.never_repeat || !method.is_idempotent() {
+    let repeat = if meta.never_repeat || !method.is_idempotent() {
         Repeat::Never
     } else {
         Repeat::Allowed
     };
-    let affinity = hash(terms.caller.as_bytes());
+    let affinity = hash(meta.caller.as_bytes());
     ParsedRequest {
-        terms,
+        meta,
         subject: Subject::Service(name),
         method,
         path,
--- a/crates/limehollow-gateway/src/shared_admission.rs
+++ b/crates/limehollow-gateway/src/shared_admission.rs
@@ -102,7 +102,7 @@
         f(&mut self.lock().admission)
     }
 
-    /// Waits until a request may go to an endpoint, or is refused.
+    /// WaitLimits until a request may go to an endpoint, or is refused.
     ///
     /// # Errors
     ///
--- a/crates/limehollow-gateway/tests/rig/mod.rs
+++ b/crates/limehollow-gateway/tests/rig/mod.rs
@@ -1,6 +1,6 @@
 //! Gateways as real processes on real sockets, before stand-ins that run in the test.
 //!
-//! The test writes the log itself, so no controller is needed. Waits are long and only bound how
+//! The test writes the log itself, so no controller is needed. WaitLimits are long and only bound how
 //! long a failure takes to show: no verdict depends on how fast the machine is.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
@@ -64,7 +64,7 @@
         assert!(status.expect("kill is there").success());
     }
 
-    /// Waits for the process to end and gives whether it ended well.
+    /// WaitLimits for the process to end and gives whether it ended well.
     pub async fn ended(&mut self) -> bool {
         let end = Instant::now() + LONG;
         while Instant::now() < end {
