--- a/crates/limehollow-gateway/src/attempt.rs
+++ b/crates/limehollow-gateway/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at one endpoint.
 
-use crate::request::{ParsedRequest, REQUEST_ID, pass_on, value};
+use crate::request::{ParsedRequest, REQUEST_ID, forwarded_headers, header_value};
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
 use limehollow::retry::Repeat;
@@ -47,7 +47,7 @@
     let mut req = client
         .request(request.method.clone(), url)
         .headers(request.headers.clone())
-        .header(REQUEST_ID, value(&request.meta.id));
+        .header(REQUEST_ID, header_value(&request.meta.id));
     if let Some(p) = request.meta.priority {
         req = req.header(PRIORITY, p.as_str());
     }
@@ -65,7 +65,7 @@
     if res.headers().contains_key(NOT_RUN) {
         return Err(Failure::Refused);
     }
-    let (status, headers) = (res.status(), pass_on(res.headers()));
+    let (status, headers) = (res.status(), forwarded_headers(res.headers()));
     Ok(Head {
         status,
         headers,
--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -3,7 +3,7 @@
 use crate::answer::Instead;
 use crate::dispatch::run;
 use crate::request::{
-    self, ParseRequestError, ParsedRequest, REQUEST_ID, RequestMeta, WaitLimits, value,
+    self, ParseRequestError, ParsedRequest, REQUEST_ID, RequestMeta, WaitLimits, header_value,
 };
 use crate::shared::Shared;
 use bytes::{Bytes, BytesMut};
@@ -44,7 +44,7 @@
         Err(instead) => Err(instead),
     };
     let mut res = res.unwrap_or_else(|instead| instead.response());
-    res.headers_mut().insert(REQUEST_ID, value(&id));
+    res.headers_mut().insert(REQUEST_ID, header_value(&id));
     res
 }
 
@@ -160,7 +160,7 @@
         let meta = parse_meta(shared, req, id)?;
         let body = read_body(shared, body).await?;
         let path = req.uri().path();
-        let parsed = request::completion(meta, path, req.headers(), body);
+        let parsed = request::parse_completion(meta, path, req.headers(), body);
         let parsed: ParsedRequest = parsed.map_err(|bad| bad_request(&bad))?;
         Ok(run(shared, parsed).await)
     })
@@ -174,7 +174,8 @@
         let meta = parse_meta(shared, req, id)?;
         let body = read_body(shared, body).await?;
         let path = service_path(req, &name);
-        let parsed = request::service(meta, name, req.method().clone(), path, req.headers(), body);
+        let parsed =
+            request::parse_service(meta, name, req.method().clone(), path, req.headers(), body);
         Ok(run(shared, parsed).await)
     })
     .await
--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -7,7 +7,7 @@
 pub mod task;
 
 use crate::dispatch::Whole;
-use crate::request::pass_on;
+use crate::request::forwarded_headers;
 use bytes::Bytes;
 use limehollow::claim::{Claimant, KeyHash};
 use limehollow::id::Incarnation;
@@ -232,7 +232,7 @@
                 }
                 Self::Done(Whole {
                     status,
-                    headers: pass_on(&map),
+                    headers: forwarded_headers(&map),
                     body: Bytes::from(body),
                 })
             }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -189,7 +189,7 @@
             course.ended(shared, "replayed");
             let mut res = w.response();
             res.headers_mut()
-                .insert(REPLAYED, crate::request::value("true"));
+                .insert(REPLAYED, crate::request::header_value("true"));
             res
         }
         Fate::Running => {
--- a/crates/limehollow-gateway/src/request.rs
+++ b/crates/limehollow-gateway/src/request.rs
@@ -146,7 +146,7 @@
 ///
 /// [`ParseRequestError::Header`] if the caller's can't be used.
 pub fn request_id(headers: &HeaderMap) -> Result<SmolStr, ParseRequestError> {
-    let given = text(headers, REQUEST_ID)?;
+    let given = header_text(headers, REQUEST_ID)?;
     Ok(given.unwrap_or_else(|| format_smolstr!("{:032x}", rand::random::<u128>())))
 }
 
@@ -171,12 +171,12 @@
     wait_limits: &WaitLimits,
 ) -> Result<RequestMeta, ParseRequestError> {
     let arrived = Instant::now();
-    let wait = match text(headers, DEADLINE)? {
+    let wait = match header_text(headers, DEADLINE)? {
         None => wait_limits.default,
-        Some(s) => Duration::from_millis(number(DEADLINE, &s, MAX_DEADLINE_MS)?),
+        Some(s) => Duration::from_millis(parse_number(DEADLINE, &s, MAX_DEADLINE_MS)?),
     };
     let wait = wait.min(wait_limits.longest);
-    let priority = match text(headers, PRIORITY)? {
+    let priority = match header_text(headers, PRIORITY)? {
         None => None,
         Some(s) => match Priority::parse(&s) {
             Some(p) => Some(p),
@@ -188,12 +188,12 @@
             }
         },
     };
-    let never_repeat = match text(headers, REPEAT)?.as_deref() {
+    let never_repeat = match header_text(headers, REPEAT)?.as_deref() {
         None => false,
         Some("never") => true,
         Some(s) => return header_error(REPEAT, format_smolstr!("must be never, not {s:?}")),
     };
-    let key = text(headers, KEY)?;
+    let key = header_text(headers, KEY)?;
     // Callers are told apart by what they authenticate with; the hash keeps secrets out of dumps.
     let caller = match headers.get("authorization") {
         Some(v) => format_smolstr!("auth-{:016x}", hash(v.as_bytes())),
@@ -216,7 +216,7 @@
 /// # Errors
 ///
 /// [`ParseRequestError::Body`] says what is wrong and where.
-pub fn completion(
+pub fn parse_completion(
     meta: RequestMeta,
     path: &str,
     headers: &HeaderMap,
@@ -271,7 +271,7 @@
         subject: Subject::Model(c.model),
         method: Method::POST,
         path: path.into(),
-        headers: pass_on(headers),
+        headers: forwarded_headers(headers),
         stream: c.stream,
         tokens,
         affinity,
@@ -285,7 +285,7 @@
 /// A method that isn't idempotent by its definition counts as not to be repeated, also if the caller
 /// doesn't say so.
 #[must_use]
-pub fn service(
+pub fn parse_service(
     meta: RequestMeta,
     name: SmolStr,
     method: Method,
@@ -304,7 +304,7 @@
         subject: Subject::Service(name),
         method,
         path,
-        headers: pass_on(headers),
+        headers: forwarded_headers(headers),
         body,
         stream: false,
         tokens: 1,
@@ -315,7 +315,7 @@
 
 /// Gives the headers that are passed on: all but those of one connection.
 #[must_use]
-pub fn pass_on(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
@@ -337,7 +337,10 @@
     out
 }
 
-fn text(headers: &HeaderMap, name: &'static str) -> Result<Option<SmolStr>, ParseRequestError> {
+fn header_text(
+    headers: &HeaderMap,
+    name: &'static str,
+) -> Result<Option<SmolStr>, ParseRequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(v) = values.next() else {
         return Ok(None);
@@ -354,7 +357,7 @@
     }
 }
 
-fn number(name: &'static str, s: &str, max: u64) -> Result<u64, ParseRequestError> {
+fn parse_number(name: &'static str, s: &str, max: u64) -> Result<u64, ParseRequestError> {
     match s.parse() {
         Ok(n) if (1..=max).contains(&n) => Ok(n),
         _ => header_error(
@@ -374,6 +377,6 @@
 
 /// Makes a header value of text that is known to be valid.
 #[must_use]
-pub fn value(s: &str) -> HeaderValue {
+pub fn header_value(s: &str) -> HeaderValue {
     HeaderValue::from_str(s).unwrap_or_else(|_| HeaderValue::from_static("invalid"))
 }
