--- a/crates/limehollow-gateway/src/answer.rs
+++ b/crates/limehollow-gateway/src/answer.rs
@@ -14,7 +14,7 @@
 
 /// An answer in place of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Instead {
+pub struct ErrorAnswer {
     /// The status code.
     pub status: StatusCode,
     /// The short word for programs.
@@ -27,10 +27,10 @@
     pub retry_after: Option<Duration>,
 }
 
-impl Instead {
+impl ErrorAnswer {
     /// Makes an answer to a request that did not run and never will as it is.
     #[must_use]
-    pub fn bad<S>(status: StatusCode, code: &'static str, message: S) -> Self
+    pub fn permanent<S>(status: StatusCode, code: &'static str, message: S) -> Self
     where
         S: Into<String>,
     {
@@ -46,7 +46,7 @@
 
     /// Makes an answer that may be different later.
     #[must_use]
-    pub fn later<S>(
+    pub fn retryable<S>(
         status: StatusCode,
         code: &'static str,
         message: S,
@@ -69,7 +69,7 @@
     ///
     /// `verdict` is what is known from attempts that were made before.
     #[must_use]
-    pub fn refused(r: &Refusal, verdict: Verdict) -> Self {
+    pub fn from_refusal(r: &Refusal, verdict: Verdict) -> Self {
         let (status, code, message) = match r.reason {
             Reason::NoTarget => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -92,7 +92,7 @@
                 "more important requests took the place",
             ),
         };
-        Self::later(status, code, message, verdict, r.retry_after)
+        Self::retryable(status, code, message, verdict, r.retry_after)
     }
 
     /// Gives the body, as it also stands in a stream that is cut.
--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -1,6 +1,6 @@
 //! The callers' side: routes, limits and the reading of requests.
 
-use crate::answer::Instead;
+use crate::answer::ErrorAnswer;
 use crate::dispatch::run;
 use crate::request::{
     self, ParseRequestError, ParsedRequest, REQUEST_ID, RequestMeta, WaitLimits, header_value,
@@ -33,7 +33,7 @@
 async fn identified<F, R>(shared: &Shared, req: &Request, f: F) -> Response
 where
     F: FnOnce(SmolStr) -> R,
-    R: Future<Output = Result<Response, Instead>>,
+    R: Future<Output = Result<Response, ErrorAnswer>>,
 {
     let id = match request::request_id(req.headers()) {
         Ok(id) => id,
@@ -41,14 +41,14 @@
     };
     let res = match check_limits(shared, req.headers()) {
         Ok(()) => f(id.clone()).await,
-        Err(instead) => Err(instead),
+        Err(error) => Err(error),
     };
-    let mut res = res.unwrap_or_else(|instead| instead.response());
+    let mut res = res.unwrap_or_else(|error| error.response());
     res.headers_mut().insert(REQUEST_ID, header_value(&id));
     res
 }
 
-fn check_limits(shared: &Shared, headers: &HeaderMap) -> Result<(), Instead> {
+fn check_limits(shared: &Shared, headers: &HeaderMap) -> Result<(), ErrorAnswer> {
     let limits = &shared.settings.limits;
     let bytes: usize = headers
         .iter()
@@ -60,10 +60,10 @@
             limits.header_bytes
         );
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        return Err(Instead::bad(status, "headers_too_large", message));
+        return Err(ErrorAnswer::permanent(status, "headers_too_large", message));
     }
     if shared.connections.open() > limits.connections {
-        return Err(Instead::later(
+        return Err(ErrorAnswer::retryable(
             StatusCode::TOO_MANY_REQUESTS,
             "too_many_connections",
             "this gateway has too many connections",
@@ -74,11 +74,11 @@
     Ok(())
 }
 
-fn bad_request(bad: &ParseRequestError) -> Instead {
-    Instead::bad(StatusCode::BAD_REQUEST, "invalid_request", bad.to_string())
+fn bad_request(bad: &ParseRequestError) -> ErrorAnswer {
+    ErrorAnswer::permanent(StatusCode::BAD_REQUEST, "invalid_request", bad.to_string())
 }
 
-fn parse_meta(shared: &Shared, req: &Request, id: SmolStr) -> Result<RequestMeta, Instead> {
+fn parse_meta(shared: &Shared, req: &Request, id: SmolStr) -> Result<RequestMeta, ErrorAnswer> {
     let remote = req.remote_addr().as_socket_addr().copied();
     let limits = &shared.settings.limits;
     let wait_limits = WaitLimits {
@@ -89,7 +89,7 @@
 }
 
 /// Reads a body within the limits on size and time, and within the request's own deadline.
-async fn read_body(shared: &Shared, body: Body) -> Result<Bytes, Instead> {
+async fn read_body(shared: &Shared, body: Body) -> Result<Bytes, ErrorAnswer> {
     let limits = &shared.settings.limits;
     let read = async {
         let mut buf = BytesMut::new();
@@ -97,11 +97,15 @@
         while let Some(chunk) = chunks.next().await {
             let Ok(chunk) = chunk else {
                 let status = StatusCode::BAD_REQUEST;
-                return Err(Instead::bad(status, "body_broken", "the body ended early"));
+                return Err(ErrorAnswer::permanent(
+                    status,
+                    "body_broken",
+                    "the body ended early",
+                ));
             };
             if buf.len() + chunk.len() > limits.body_bytes {
                 let message = format!("the body has more than {} bytes", limits.body_bytes);
-                return Err(Instead::bad(
+                return Err(ErrorAnswer::permanent(
                     StatusCode::PAYLOAD_TOO_LARGE,
                     "body_too_large",
                     message,
@@ -115,7 +119,7 @@
         Ok(res) => res,
         Err(_) => {
             let message = format!("the body was not there within {} ms", limits.body_ms);
-            Err(Instead::bad(
+            Err(ErrorAnswer::permanent(
                 StatusCode::REQUEST_TIMEOUT,
                 "body_too_slow",
                 message,
@@ -124,9 +128,9 @@
     }
 }
 
-fn wrong_method(allowed: &'static str) -> Instead {
+fn wrong_method(allowed: &'static str) -> ErrorAnswer {
     let message = format!("only {allowed} is allowed here");
-    Instead::bad(
+    ErrorAnswer::permanent(
         StatusCode::METHOD_NOT_ALLOWED,
         "method_not_allowed",
         message,
@@ -203,7 +207,11 @@
 async fn nothing(Data(shared): Data<&Arc<Shared>>, req: &Request) -> Response {
     identified(shared, req, |_| async {
         let message = format!("there is nothing at {}", req.uri().path());
-        Err(Instead::bad(StatusCode::NOT_FOUND, "not_found", message))
+        Err(ErrorAnswer::permanent(
+            StatusCode::NOT_FOUND,
+            "not_found",
+            message,
+        ))
     })
     .await
 }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! The course of a request: admitted, sent, sent again where that is right, and answered once.
 
-use crate::answer::{Instead, REPLAYED, VERDICT};
+use crate::answer::{ErrorAnswer, REPLAYED, VERDICT};
 use crate::attempt::{head, whole};
 use crate::claims::{Claim, Claimed, Fate};
 use crate::relay::Relay;
@@ -61,14 +61,14 @@
     /// # Errors
     ///
     /// The answer to give instead, with the verdict of all attempts.
-    pub async fn admit(&self, shared: &Shared) -> Result<(Slot, Target), Instead> {
+    pub async fn admit(&self, shared: &Shared) -> Result<(Slot, Target), ErrorAnswer> {
         let verdict = self.attempts.verdict;
         let slot = shared.admission.admit(self.offer.clone()).await;
         let slot = slot.map_err(|r| {
             if let Subject::Model(m) = &self.request.subject {
                 shared.unmet.note(m);
             }
-            Instead::refused(&r, verdict)
+            ErrorAnswer::from_refusal(&r, verdict)
         })?;
         let table = shared.table.load();
         let target = route(&table, &self.request.subject)
@@ -78,7 +78,7 @@
             reason: Reason::NoTarget,
             retry_after: Duration::from_secs(1),
         };
-        let target = target.ok_or_else(|| Instead::refused(&gone, verdict))?;
+        let target = target.ok_or_else(|| ErrorAnswer::from_refusal(&gone, verdict))?;
         Ok((slot, target))
     }
 
@@ -105,7 +105,7 @@
 
 /// Gives the answer when no further attempt is made.
 #[must_use]
-pub fn gave_up(failure: Failure, verdict: Verdict) -> Instead {
+pub fn gave_up(failure: Failure, verdict: Verdict) -> ErrorAnswer {
     let (status, code, message) = match failure {
         Failure::Deadline => (
             StatusCode::GATEWAY_TIMEOUT,
@@ -123,7 +123,7 @@
             "the endpoint failed during the request",
         ),
     };
-    Instead::later(status, code, message, verdict, Duration::from_secs(1))
+    ErrorAnswer::retryable(status, code, message, verdict, Duration::from_secs(1))
 }
 
 /// A whole answer of an endpoint.
@@ -159,7 +159,7 @@
         } else {
             "service_not_found"
         };
-        return Instead::bad(StatusCode::NOT_FOUND, code, message).response();
+        return ErrorAnswer::permanent(StatusCode::NOT_FOUND, code, message).response();
     };
     let key = request.key_hash();
     let course = Course::new(request, route);
@@ -177,7 +177,7 @@
             course.ended(shared, "refused");
             let message = "whether this key was used before can't be decided now";
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            Instead::later(status, "undecided", message, Verdict::NotRun, after).response()
+            ErrorAnswer::retryable(status, "undecided", message, Verdict::NotRun, after).response()
         }
     }
 }
@@ -195,7 +195,7 @@
         Fate::Running => {
             course.ended(shared, "unknown");
             let message = "a request with this key is under way";
-            Instead::later(
+            ErrorAnswer::retryable(
                 StatusCode::CONFLICT,
                 "running",
                 message,
@@ -209,14 +209,15 @@
             let message =
                 "an earlier request with this key did not run; its claim is being given back";
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            Instead::later(status, "released", message, Verdict::NotRun, RESULT_PAUSE).response()
+            ErrorAnswer::retryable(status, "released", message, Verdict::NotRun, RESULT_PAUSE)
+                .response()
         }
         Fate::Unknown => {
             course.ended(shared, "unknown");
             let message = "a request with this key may have run, and its result is not known";
-            let mut instead = Instead::bad(StatusCode::CONFLICT, "unknown_result", message);
-            instead.verdict = Verdict::MayHaveRun;
-            instead.response()
+            let mut error = ErrorAnswer::permanent(StatusCode::CONFLICT, "unknown_result", message);
+            error.verdict = Verdict::MayHaveRun;
+            error.response()
         }
     }
 }
@@ -227,12 +228,12 @@
     loop {
         let (slot, target) = match course.admit(shared).await {
             Ok(admitted) => admitted,
-            Err(instead) => return give_instead(shared, &course, claim, &instead),
+            Err(error) => return finish_with_error(shared, &course, claim, &error),
         };
         if claim.as_ref().is_some_and(|c| !c.stands()) {
             let failure = Failure::Deadline;
-            let instead = gave_up(failure, course.attempts.verdict);
-            return give_instead(shared, &course, claim, &instead);
+            let error = gave_up(failure, course.attempts.verdict);
+            return finish_with_error(shared, &course, claim, &error);
         }
         let sent_at = Instant::now();
         shared.metrics.attempts.inc();
@@ -291,7 +292,7 @@
         match next {
             RetryDecision::Retry(pause) => sleep(pause).await,
             RetryDecision::GiveUp(verdict) => {
-                return give_instead(shared, &course, claim, &gave_up(failure, verdict));
+                return finish_with_error(shared, &course, claim, &gave_up(failure, verdict));
             }
         }
     }
@@ -333,26 +334,26 @@
     w.response()
 }
 
-fn give_instead(
+fn finish_with_error(
     shared: &Shared,
     course: &Course,
     claim: Option<Claim>,
-    instead: &Instead,
+    error: &ErrorAnswer,
 ) -> Response {
-    match (instead.verdict, claim) {
+    match (error.verdict, claim) {
         (Verdict::NotRun, Some(c)) => c.release(),
         (Verdict::MayHaveRun, Some(c)) => c.done(None),
         (_, None) => {}
     }
-    let outcome = if instead.verdict == Verdict::NotRun {
+    let outcome = if error.verdict == Verdict::NotRun {
         "refused"
     } else {
         "unknown"
     };
     course.ended(shared, outcome);
     debug_assert!(
-        instead.response().headers().contains_key(VERDICT),
+        error.response().headers().contains_key(VERDICT),
         "every own answer has a verdict"
     );
-    instead.response()
+    error.response()
 }
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -4,7 +4,7 @@
 //! most one event and one network buffer are held: the next is read when the caller took the last
 //! (`docs/design/streams.md`).
 
-use crate::answer::Instead;
+use crate::answer::ErrorAnswer;
 use crate::attempt::{Head, head};
 use crate::dispatch::{Course, gave_up};
 use crate::shared::Shared;
@@ -105,8 +105,8 @@
                 }
                 Err(f) => f,
             };
-            if let Err(instead) = self.go_on(failure).await {
-                return self.cut(&instead);
+            if let Err(error) = self.go_on(failure).await {
+                return self.cut(&error);
             }
         }
     }
@@ -131,7 +131,7 @@
     }
 
     /// Goes on at another endpoint from the last event that was delivered.
-    async fn go_on(&mut self, failure: Failure) -> Result<(), Instead> {
+    async fn go_on(&mut self, failure: Failure) -> Result<(), ErrorAnswer> {
         let mut failure = failure;
         loop {
             if let Some(slot) = self.slot.take() {
@@ -202,10 +202,10 @@
         }
     }
 
-    fn cut(&mut self, instead: &Instead) -> Piece {
+    fn cut(&mut self, error: &ErrorAnswer) -> Piece {
         self.settled = true;
         self.course.ended(&self.shared, "cut");
-        Piece::Cut(Bytes::from(format!("data: {}\n\n", instead.body())))
+        Piece::Cut(Bytes::from(format!("data: {}\n\n", error.body())))
     }
 }
 
