--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -25,21 +25,21 @@
 
 /// A request on its way, with what was tried so far.
 #[derive(Debug)]
-pub struct Course {
+pub struct ActiveRequest {
     /// The request.
     pub request: ParsedRequest,
     /// What admission is asked.
-    pub offer: AdmissionRequest,
+    pub admission_request: AdmissionRequest,
     /// The attempts.
     pub attempts: Attempts,
 }
 
-impl Course {
+impl ActiveRequest {
     /// Starts the course of a request.
     #[must_use]
     pub fn new(request: ParsedRequest, route: &Route) -> Self {
         let priority = request.meta.priority.unwrap_or(route.priority);
-        let offer = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             subject: request.subject.clone(),
             caller: request.meta.caller.clone(),
             priority,
@@ -51,7 +51,7 @@
         let attempts = Attempts::new(request.repeat, request.meta.deadline);
         Self {
             request,
-            offer,
+            admission_request,
             attempts,
         }
     }
@@ -63,7 +63,7 @@
     /// The answer to give instead, with the verdict of all attempts.
     pub async fn admit(&self, shared: &Shared) -> Result<(Slot, Target), ErrorAnswer> {
         let verdict = self.attempts.verdict;
-        let slot = shared.admission.admit(self.offer.clone()).await;
+        let slot = shared.admission.admit(self.admission_request.clone()).await;
         let slot = slot.map_err(|r| {
             if let Subject::Model(m) = &self.request.subject {
                 shared.unmet.note(m);
@@ -83,14 +83,14 @@
     }
 
     /// Counts the request as ended.
-    pub fn ended(&self, shared: &Shared, outcome: &'static str) {
+    pub fn record_outcome(&self, shared: &Shared, outcome: &'static str) {
         shared
             .metrics
             .ended(self.request.kind(), self.priority(), outcome);
     }
 
     fn priority(&self) -> Priority {
-        self.offer.priority
+        self.admission_request.priority
     }
 }
 
@@ -162,19 +162,19 @@
         return ErrorAnswer::permanent(StatusCode::NOT_FOUND, code, message).response();
     };
     let key = request.key_hash();
-    let course = Course::new(request, route);
+    let active = ActiveRequest::new(request, route);
     let Some(key) = key else {
-        return answer(shared, course, None).await;
+        return answer(shared, active, None).await;
     };
     match shared
         .claiming
-        .claim(key, course.request.meta.deadline)
+        .claim(key, active.request.meta.deadline)
         .await
     {
-        Claimed::Mine(claim) => answer(shared, course, Some(claim)).await,
-        Claimed::Other(fate) => repeat_answer(shared, &course, fate),
+        Claimed::Mine(claim) => answer(shared, active, Some(claim)).await,
+        Claimed::Other(fate) => repeat_answer(shared, &active, fate),
         Claimed::Undecided(after) => {
-            course.ended(shared, "refused");
+            active.record_outcome(shared, "refused");
             let message = "whether this key was used before can't be decided now";
             let status = StatusCode::SERVICE_UNAVAILABLE;
             ErrorAnswer::retryable(status, "undecided", message, Verdict::NotRun, after).response()
@@ -183,17 +183,17 @@
 }
 
 /// Answers a request whose key was claimed before.
-fn repeat_answer(shared: &Shared, course: &Course, fate: Fate) -> Response {
+fn repeat_answer(shared: &Shared, active: &ActiveRequest, fate: Fate) -> Response {
     match fate {
         Fate::Done(w) => {
-            course.ended(shared, "replayed");
+            active.record_outcome(shared, "replayed");
             let mut res = w.response();
             res.headers_mut()
                 .insert(REPLAYED, crate::request::header_value("true"));
             res
         }
         Fate::Running => {
-            course.ended(shared, "unknown");
+            active.record_outcome(shared, "unknown");
             let message = "a request with this key is under way";
             ErrorAnswer::retryable(
                 StatusCode::CONFLICT,
@@ -205,7 +205,7 @@
             .response()
         }
         Fate::Released => {
-            course.ended(shared, "refused");
+            active.record_outcome(shared, "refused");
             let message =
                 "an earlier request with this key did not run; its claim is being given back";
             let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -213,7 +213,7 @@
                 .response()
         }
         Fate::Unknown => {
-            course.ended(shared, "unknown");
+            active.record_outcome(shared, "unknown");
             let message = "a request with this key may have run, and its result is not known";
             let mut error = ErrorAnswer::permanent(StatusCode::CONFLICT, "unknown_result", message);
             error.verdict = Verdict::MayHaveRun;
@@ -223,28 +223,28 @@
 }
 
 /// Sends a request until it is answered or given up.
-async fn answer(shared: &Arc<Shared>, mut course: Course, claim: Option<Claim>) -> Response {
+async fn answer(shared: &Arc<Shared>, mut active: ActiveRequest, claim: Option<Claim>) -> Response {
     shared.budget().deposit();
     loop {
-        let (slot, target) = match course.admit(shared).await {
+        let (slot, target) = match active.admit(shared).await {
             Ok(admitted) => admitted,
-            Err(error) => return finish_with_error(shared, &course, claim, &error),
+            Err(error) => return finish_with_error(shared, &active, claim, &error),
         };
         if claim.as_ref().is_some_and(|c| !c.stands()) {
             let failure = Failure::Deadline;
-            let error = gave_up(failure, course.attempts.verdict);
-            return finish_with_error(shared, &course, claim, &error);
+            let error = gave_up(failure, active.attempts.verdict);
+            return finish_with_error(shared, &active, claim, &error);
         }
         let sent_at = Instant::now();
         shared.metrics.attempts.inc();
-        if course.attempts.made > 0 {
+        if active.attempts.made > 0 {
             shared.metrics.retries.inc();
         }
         if let Some(c) = &claim {
             c.dispatched();
         }
-        let failure = match head(shared, &course.request, &target, 0).await {
-            Ok(h) if course.request.stream && h.status.is_success() => {
+        let failure = match head(shared, &active.request, &target, 0).await {
+            Ok(h) if active.request.stream && h.status.is_success() => {
                 observe_first(shared, sent_at);
                 let (status, headers) = (h.status, h.headers.clone());
                 if let Some(c) = claim {
@@ -252,7 +252,7 @@
                 }
                 let relay = Relay::new(
                     Arc::clone(shared),
-                    course,
+                    active,
                     slot,
                     h,
                     target.version.clone(),
@@ -264,11 +264,11 @@
                 res.headers_mut().extend(headers);
                 return res;
             }
-            Ok(h) if is_engine_failure(&course.request, h.status) => Failure::ServerError,
+            Ok(h) if is_engine_failure(&active.request, h.status) => Failure::ServerError,
             Ok(h) => {
                 observe_first(shared, sent_at);
                 let first = h.at - sent_at;
-                match whole(h, course.request.meta.deadline).await {
+                match whole(h, active.request.meta.deadline).await {
                     Ok((status, headers, body)) => {
                         slot.finish(AttemptOutcome::Completed { first });
                         let w = Whole {
@@ -276,23 +276,23 @@
                             headers,
                             body,
                         };
-                        return give_whole(shared, &course, claim, w, sent_at);
+                        return give_whole(shared, &active, claim, w, sent_at);
                     }
                     Err(f) => f,
                 }
             }
             Err(f) => f,
         };
-        course.offer.failed.push(slot.key);
+        active.admission_request.failed.push(slot.key);
         slot.finish(AttemptOutcome::Failed(failure));
         let now = Instant::now();
         let next = shared
             .budget()
-            .after(now, &mut course.attempts, failure, rand::random());
+            .after(now, &mut active.attempts, failure, rand::random());
         match next {
             RetryDecision::Retry(pause) => sleep(pause).await,
             RetryDecision::GiveUp(verdict) => {
-                return finish_with_error(shared, &course, claim, &gave_up(failure, verdict));
+                return finish_with_error(shared, &active, claim, &gave_up(failure, verdict));
             }
         }
     }
@@ -312,22 +312,22 @@
 
 fn give_whole(
     shared: &Shared,
-    course: &Course,
+    active: &ActiveRequest,
     claim: Option<Claim>,
     w: Whole,
     sent_at: Instant,
 ) -> Response {
     let now = Instant::now();
-    let subject = &course.request.subject;
+    let subject = &active.request.subject;
     shared
         .admission
         .with(|a| a.record_answer(subject, now - sent_at, Duration::ZERO, 1));
-    let outcome = if now <= course.request.meta.deadline {
+    let outcome = if now <= active.request.meta.deadline {
         "attained"
     } else {
         "late"
     };
-    course.ended(shared, outcome);
+    active.record_outcome(shared, outcome);
     if let Some(c) = claim {
         c.done(Some(w.clone()));
     }
@@ -336,7 +336,7 @@
 
 fn finish_with_error(
     shared: &Shared,
-    course: &Course,
+    active: &ActiveRequest,
     claim: Option<Claim>,
     error: &ErrorAnswer,
 ) -> Response {
@@ -350,7 +350,7 @@
     } else {
         "unknown"
     };
-    course.ended(shared, outcome);
+    active.record_outcome(shared, outcome);
     debug_assert!(
         error.response().headers().contains_key(VERDICT),
         "every own answer has a verdict"
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -6,7 +6,7 @@
 
 use crate::answer::ErrorAnswer;
 use crate::attempt::{Head, head};
-use crate::dispatch::{Course, gave_up};
+use crate::dispatch::{ActiveRequest, gave_up};
 use crate::shared::Shared;
 use crate::shared_admission::Slot;
 use bytes::{Buf, Bytes, BytesMut};
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Relay {
     shared: Arc<Shared>,
-    course: Course,
+    active: ActiveRequest,
     slot: Option<Slot>,
     body: reqwest::Response,
     buf: BytesMut,
@@ -56,7 +56,7 @@
     #[must_use]
     pub fn new(
         shared: Arc<Shared>,
-        course: Course,
+        active: ActiveRequest,
         slot: Slot,
         head: Head,
         version: SmolStr,
@@ -64,7 +64,7 @@
     ) -> Self {
         Self {
             shared,
-            course,
+            active,
             slot: Some(slot),
             body: head.body,
             buf: BytesMut::new(),
@@ -120,7 +120,7 @@
             if self.buf.len() > MAX_EVENT {
                 return Err(Failure::Broken);
             }
-            let deadline = self.course.request.meta.deadline;
+            let deadline = self.active.request.meta.deadline;
             match timeout_at(deadline, self.body.chunk()).await {
                 Err(_) => return Err(Failure::Deadline),
                 // The end without `[DONE]` isn't the end of an answer.
@@ -135,12 +135,12 @@
         let mut failure = failure;
         loop {
             if let Some(slot) = self.slot.take() {
-                self.course.offer.failed.push(slot.key);
+                self.active.admission_request.failed.push(slot.key);
                 slot.finish(AttemptOutcome::Failed(failure));
             }
             self.buf.clear();
             let now = Instant::now();
-            let attempts = &mut self.course.attempts;
+            let attempts = &mut self.active.attempts;
             let next = self
                 .shared
                 .budget()
@@ -149,15 +149,15 @@
                 RetryDecision::GiveUp(verdict) => return Err(gave_up(failure, verdict)),
                 RetryDecision::Retry(pause) => sleep(pause).await,
             }
-            let (slot, target) = self.course.admit(&self.shared).await?;
+            let (slot, target) = self.active.admit(&self.shared).await?;
             if target.version != self.version {
                 // Another version's words don't continue this one's.
                 slot.finish(AttemptOutcome::Cancelled);
-                return Err(gave_up(failure, self.course.attempts.verdict));
+                return Err(gave_up(failure, self.active.attempts.verdict));
             }
             self.shared.metrics.retries.inc();
             self.shared.metrics.attempts.inc();
-            match head(&self.shared, &self.course.request, &target, self.delivered).await {
+            match head(&self.shared, &self.active.request, &target, self.delivered).await {
                 Ok(h) if h.status.is_success() => {
                     self.shared.metrics.resumed.inc();
                     self.body = h.body;
@@ -180,31 +180,31 @@
                 first: first - self.sent_at,
             });
         }
-        let (subject, tokens) = (self.course.request.subject.clone(), self.delivered);
+        let (subject, tokens) = (self.active.request.subject.clone(), self.delivered);
         let (to_first, rest) = (first - self.sent_at, now - first);
         self.shared
             .admission
             .with(|a| a.record_answer(&subject, to_first, rest, tokens));
-        let outcome = if now <= self.course.request.meta.deadline {
+        let outcome = if now <= self.active.request.meta.deadline {
             "attained"
         } else {
             "late"
         };
-        self.course.ended(&self.shared, outcome);
+        self.active.record_outcome(&self.shared, outcome);
         Piece::Last(event)
     }
 
     /// Breaks the caller's connection off, once what was written last is on its way.
     async fn break_off(&self) {
         sleep(FLUSH_TIME).await;
-        if let Some(remote) = self.course.request.meta.remote {
+        if let Some(remote) = self.active.request.meta.remote {
             self.shared.connections.cut(remote);
         }
     }
 
     fn cut(&mut self, error: &ErrorAnswer) -> Piece {
         self.settled = true;
-        self.course.ended(&self.shared, "cut");
+        self.active.record_outcome(&self.shared, "cut");
         Piece::Cut(Bytes::from(format!("data: {}\n\n", error.body())))
     }
 }
@@ -212,7 +212,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.settled {
-            self.course.ended(&self.shared, "left");
+            self.active.record_outcome(&self.shared, "left");
         }
     }
 }
