--- a/crates/limehollow-gateway/src/attempt.rs
+++ b/crates/limehollow-gateway/src/attempt.rs
@@ -15,7 +15,7 @@
 
 /// The head of an endpoint's answer; its body is still to be read.
 #[derive(Debug)]
-pub struct Head {
+pub struct AnswerHead {
     /// The status code.
     pub status: StatusCode,
     /// The headers to pass on.
@@ -33,12 +33,12 @@
 /// # Errors
 ///
 /// What happened, from which the verdict follows.
-pub async fn head(
+pub async fn send_request(
     shared: &Shared,
     request: &ParsedRequest,
     target: &Target,
     resume: u32,
-) -> Result<Head, Failure> {
+) -> Result<AnswerHead, Failure> {
     let client = match request.repeat {
         Repeat::Allowed => &shared.client,
         Repeat::Never => &shared.once_client,
@@ -66,7 +66,7 @@
         return Err(Failure::Refused);
     }
     let (status, headers) = (res.status(), forwarded_headers(res.headers()));
-    Ok(Head {
+    Ok(AnswerHead {
         status,
         headers,
         body: res,
@@ -87,8 +87,8 @@
 /// # Errors
 ///
 /// [`Failure::Broken`] if it ends early or is too large, [`Failure::Deadline`] if it comes too late.
-pub async fn whole(
-    mut head: Head,
+pub async fn read_full_answer(
+    mut head: AnswerHead,
     deadline: Instant,
 ) -> Result<(StatusCode, HeaderMap, Bytes), Failure> {
     let mut buf = BytesMut::new();
--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -6,7 +6,7 @@
 
 pub mod task;
 
-use crate::dispatch::Whole;
+use crate::dispatch::FullAnswer;
 use crate::request::forwarded_headers;
 use bytes::Bytes;
 use limehollow::claim::{Claimant, KeyHash};
@@ -31,7 +31,7 @@
     /// It is under way.
     Running,
     /// It is done, with this result.
-    Done(Whole),
+    Done(FullAnswer),
     /// It did not run and won't; its claim is being given back.
     Released,
     /// It may have run; nobody knows its result any more.
@@ -76,7 +76,7 @@
     }
 
     /// Notes that the request ended and may have run, with its result if there is one.
-    pub fn done(mut self, result: Option<Whole>) {
+    pub fn done(mut self, result: Option<FullAnswer>) {
         self.tell(Told::Done(self.number, result));
     }
 
@@ -109,7 +109,7 @@
 
 #[derive(Debug)]
 enum Told {
-    Done(u64, Option<Whole>),
+    Done(u64, Option<FullAnswer>),
     Release(u64),
 }
 
@@ -230,7 +230,7 @@
                         map.append(n, v);
                     }
                 }
-                Self::Done(Whole {
+                Self::Done(FullAnswer {
                     status,
                     headers: forwarded_headers(&map),
                     body: Bytes::from(body),
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -1,7 +1,7 @@
 //! The task that owns the claims of one gateway.
 
 use super::{Claiming, Decision, Fate, LONGEST_WAIT, Told, Wish};
-use crate::dispatch::Whole;
+use crate::dispatch::FullAnswer;
 use crate::metrics::Metrics;
 use crate::settings::ClaimSettings;
 use limehollow::claim::{ClaimRecord, ClaimState, Claimant, Claims, KeyHash};
@@ -205,7 +205,7 @@
         match told {
             Told::Done(number, result) => {
                 self.keys.remove(&number);
-                let fits = |w: &Whole| w.body.len() <= self.settings.result_bytes;
+                let fits = |w: &FullAnswer| w.body.len() <= self.settings.result_bytes;
                 let fate = result.filter(fits).map_or(Fate::Unknown, Fate::Done);
                 self.remember(number, fate);
             }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! The course of a request: admitted, sent, sent again where that is right, and answered once.
 
 use crate::answer::{ErrorAnswer, REPLAYED, VERDICT};
-use crate::attempt::{head, whole};
+use crate::attempt::{read_full_answer, send_request};
 use crate::claims::{Claim, Claimed, Fate};
 use crate::relay::Relay;
 use crate::request::ParsedRequest;
@@ -105,7 +105,7 @@
 
 /// Gives the answer when no further attempt is made.
 #[must_use]
-pub fn gave_up(failure: Failure, verdict: Verdict) -> ErrorAnswer {
+pub fn failure_answer(failure: Failure, verdict: Verdict) -> ErrorAnswer {
     let (status, code, message) = match failure {
         Failure::Deadline => (
             StatusCode::GATEWAY_TIMEOUT,
@@ -128,7 +128,7 @@
 
 /// A whole answer of an endpoint.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct FullAnswer {
     /// The status code.
     pub status: StatusCode,
     /// The headers.
@@ -137,7 +137,7 @@
     pub body: Bytes,
 }
 
-impl Whole {
+impl FullAnswer {
     fn response(self) -> Response {
         let mut res = Response::builder().status(self.status).body(self.body);
         res.headers_mut().extend(self.headers);
@@ -172,7 +172,7 @@
         .await
     {
         Claimed::Mine(claim) => answer(shared, active, Some(claim)).await,
-        Claimed::Other(fate) => repeat_answer(shared, &active, fate),
+        Claimed::Other(fate) => answer_duplicate(shared, &active, fate),
         Claimed::Undecided(after) => {
             active.record_outcome(shared, "refused");
             let message = "whether this key was used before can't be decided now";
@@ -183,7 +183,7 @@
 }
 
 /// Answers a request whose key was claimed before.
-fn repeat_answer(shared: &Shared, active: &ActiveRequest, fate: Fate) -> Response {
+fn answer_duplicate(shared: &Shared, active: &ActiveRequest, fate: Fate) -> Response {
     match fate {
         Fate::Done(w) => {
             active.record_outcome(shared, "replayed");
@@ -232,7 +232,7 @@
         };
         if claim.as_ref().is_some_and(|c| !c.stands()) {
             let failure = Failure::Deadline;
-            let error = gave_up(failure, active.attempts.verdict);
+            let error = failure_answer(failure, active.attempts.verdict);
             return finish_with_error(shared, &active, claim, &error);
         }
         let sent_at = Instant::now();
@@ -243,7 +243,7 @@
         if let Some(c) = &claim {
             c.dispatched();
         }
-        let failure = match head(shared, &active.request, &target, 0).await {
+        let failure = match send_request(shared, &active.request, &target, 0).await {
             Ok(h) if active.request.stream && h.status.is_success() => {
                 observe_first(shared, sent_at);
                 let (status, headers) = (h.status, h.headers.clone());
@@ -268,15 +268,15 @@
             Ok(h) => {
                 observe_first(shared, sent_at);
                 let first = h.at - sent_at;
-                match whole(h, active.request.meta.deadline).await {
+                match read_full_answer(h, active.request.meta.deadline).await {
                     Ok((status, headers, body)) => {
                         slot.finish(AttemptOutcome::Completed { first });
-                        let w = Whole {
+                        let w = FullAnswer {
                             status,
                             headers,
                             body,
                         };
-                        return give_whole(shared, &active, claim, w, sent_at);
+                        return finish_with_answer(shared, &active, claim, w, sent_at);
                     }
                     Err(f) => f,
                 }
@@ -292,7 +292,12 @@
         match next {
             RetryDecision::Retry(pause) => sleep(pause).await,
             RetryDecision::GiveUp(verdict) => {
-                return finish_with_error(shared, &active, claim, &gave_up(failure, verdict));
+                return finish_with_error(
+                    shared,
+                    &active,
+                    claim,
+                    &failure_answer(failure, verdict),
+                );
             }
         }
     }
@@ -310,11 +315,11 @@
         .observe(sent_at.elapsed().as_secs_f64());
 }
 
-fn give_whole(
+fn finish_with_answer(
     shared: &Shared,
     active: &ActiveRequest,
     claim: Option<Claim>,
-    w: Whole,
+    w: FullAnswer,
     sent_at: Instant,
 ) -> Response {
     let now = Instant::now();
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -5,8 +5,8 @@
 //! (`docs/design/streams.md`).
 
 use crate::answer::ErrorAnswer;
-use crate::attempt::{Head, head};
-use crate::dispatch::{ActiveRequest, gave_up};
+use crate::attempt::{AnswerHead, send_request};
+use crate::dispatch::{ActiveRequest, failure_answer};
 use crate::shared::Shared;
 use crate::shared_admission::Slot;
 use bytes::{Buf, Bytes, BytesMut};
@@ -58,7 +58,7 @@
         shared: Arc<Shared>,
         active: ActiveRequest,
         slot: Slot,
-        head: Head,
+        head: AnswerHead,
         version: SmolStr,
         sent_at: Instant,
     ) -> Self {
@@ -146,18 +146,18 @@
                 .budget()
                 .after(now, attempts, failure, rand::random());
             match next {
-                RetryDecision::GiveUp(verdict) => return Err(gave_up(failure, verdict)),
+                RetryDecision::GiveUp(verdict) => return Err(failure_answer(failure, verdict)),
                 RetryDecision::Retry(pause) => sleep(pause).await,
             }
             let (slot, target) = self.active.admit(&self.shared).await?;
             if target.version != self.version {
                 // Another version's words don't continue this one's.
                 slot.finish(AttemptOutcome::Cancelled);
-                return Err(gave_up(failure, self.active.attempts.verdict));
+                return Err(failure_answer(failure, self.active.attempts.verdict));
             }
             self.shared.metrics.retries.inc();
             self.shared.metrics.attempts.inc();
-            match head(&self.shared, &self.active.request, &target, self.delivered).await {
+            match send_request(&self.shared, &self.active.request, &target, self.delivered).await {
                 Ok(h) if h.status.is_success() => {
                     self.shared.metrics.resumed.inc();
                     self.body = h.body;
