--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -86,7 +86,7 @@
     pub fn record_outcome(&self, shared: &Shared, outcome: &'static str) {
         shared
             .metrics
-            .ended(self.request.kind(), self.priority(), outcome);
+            .record_request(self.request.kind(), self.priority(), outcome);
     }
 
     fn priority(&self) -> Priority {
--- a/crates/limehollow-gateway/src/metrics.rs
+++ b/crates/limehollow-gateway/src/metrics.rs
@@ -10,7 +10,7 @@
 
 /// Names a kind of request and how it ended. All values come from short fixed lists.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Ended {
+pub struct RequestLabels {
     /// `completion` or `service`.
     pub kind: &'static str,
     /// `high`, `normal` or `low`.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     /// Requests that ended.
-    pub requests: Family<Ended, Counter>,
+    pub requests: Family<RequestLabels, Counter>,
     /// Attempts at endpoints.
     pub attempts: Counter,
     /// Attempts after the first of a request.
@@ -63,8 +63,8 @@
 
 impl Metrics {
     /// Counts a request that ended.
-    pub fn ended(&self, kind: &'static str, priority: Priority, outcome: &'static str) {
-        let labels = Ended {
+    pub fn record_request(&self, kind: &'static str, priority: Priority, outcome: &'static str) {
+        let labels = RequestLabels {
             kind,
             priority: priority.as_str(),
             outcome,
