--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub struct Claim {
     number: u64,
-    tx: mpsc::UnboundedSender<Told>,
+    tx: mpsc::UnboundedSender<ClaimResult>,
     dispatched: std::sync::atomic::AtomicBool,
     /// Until when the claim surely stands.
     good_until: Instant,
-    told: bool,
+    reported: bool,
 }
 
 impl Claim {
@@ -77,44 +77,44 @@
 
     /// Notes that the request ended and may have run, with its result if there is one.
     pub fn done(mut self, result: Option<FullAnswer>) {
-        self.tell(Told::Done(self.number, result));
+        self.report(ClaimResult::Done(self.number, result));
     }
 
     /// Notes that the request surely did not run: the key is free again.
     pub fn release(mut self) {
-        self.tell(Told::Release(self.number));
+        self.report(ClaimResult::Release(self.number));
     }
 
-    fn tell(&mut self, told: Told) {
-        self.told = true;
+    fn report(&mut self, result: ClaimResult) {
+        self.reported = true;
         // The task only ends with the process.
-        let _ended = self.tx.send(told);
+        let _ended = self.tx.send(result);
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        if self.told {
+        if self.reported {
             return;
         }
         let number = self.number;
         let dispatched = *self.dispatched.get_mut();
-        self.tell(if dispatched {
-            Told::Done(number, None)
+        self.report(if dispatched {
+            ClaimResult::Done(number, None)
         } else {
-            Told::Release(number)
+            ClaimResult::Release(number)
         });
     }
 }
 
 #[derive(Debug)]
-enum Told {
+enum ClaimResult {
     Done(u64, Option<FullAnswer>),
     Release(u64),
 }
 
 #[derive(Debug)]
-enum Wish {
+enum ClaimCommand {
     Claim(KeyHash, oneshot::Sender<Decision>),
     Fate(Incarnation, u64, oneshot::Sender<Fate>),
 }
@@ -130,8 +130,8 @@
 /// The traffic threads' side.
 #[derive(Clone, Debug)]
 pub struct Claiming {
-    wishes: mpsc::Sender<Wish>,
-    told: mpsc::UnboundedSender<Told>,
+    commands: mpsc::Sender<ClaimCommand>,
+    results: mpsc::UnboundedSender<ClaimResult>,
     /// For how long after the wish a claim may be relied on: half of the time that it is remembered.
     good_for: Duration,
 }
@@ -141,7 +141,11 @@
     pub async fn claim(&self, key: KeyHash, deadline: Instant) -> Claimed {
         let asked = Instant::now();
         let (tx, rx) = oneshot::channel();
-        if self.wishes.try_send(Wish::Claim(key, tx)).is_err() {
+        if self
+            .commands
+            .try_send(ClaimCommand::Claim(key, tx))
+            .is_err()
+        {
             return Claimed::Undecided(RETRY_AFTER);
         }
         let limit = deadline.min(Instant::now() + LONGEST_WAIT);
@@ -152,10 +156,10 @@
                 let dispatched = false.into();
                 Claimed::Mine(Claim {
                     number,
-                    tx: self.told.clone(),
+                    tx: self.results.clone(),
                     dispatched,
                     good_until: asked + self.good_for,
-                    told: false,
+                    reported: false,
                 })
             }
             Ok(Ok(Decision::Own(fate))) => Claimed::Other(fate),
@@ -167,7 +171,10 @@
     /// Answers another gateway that asks what became of a claim of this one.
     pub async fn fate(&self, incarnation: Incarnation, number: u64) -> ClaimFate {
         let (tx, rx) = oneshot::channel();
-        let asked = self.wishes.send(Wish::Fate(incarnation, number, tx)).await;
+        let asked = self
+            .commands
+            .send(ClaimCommand::Fate(incarnation, number, tx))
+            .await;
         let fate = match asked {
             Ok(()) => rx.await.unwrap_or(Fate::Unknown),
             Err(_) => Fate::Unknown,
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -1,6 +1,6 @@
 //! The task that owns the claims of one gateway.
 
-use super::{Claiming, Decision, Fate, LONGEST_WAIT, Told, Wish};
+use super::{ClaimCommand, ClaimResult, Claiming, Decision, Fate, LONGEST_WAIT};
 use crate::dispatch::FullAnswer;
 use crate::metrics::Metrics;
 use crate::settings::ClaimSettings;
@@ -56,10 +56,10 @@
     keys: HashMap<u64, KeyHash>,
     fates: BTreeMap<u64, Fate>,
     last_number: u64,
-    told_tx: mpsc::UnboundedSender<Told>,
-    told: mpsc::UnboundedReceiver<Told>,
-    wishes_tx: mpsc::Sender<Wish>,
-    wishes: mpsc::Receiver<Wish>,
+    results_tx: mpsc::UnboundedSender<ClaimResult>,
+    results: mpsc::UnboundedReceiver<ClaimResult>,
+    commands_tx: mpsc::Sender<ClaimCommand>,
+    commands: mpsc::Receiver<ClaimCommand>,
 }
 
 /// How an append ended.
@@ -77,8 +77,8 @@
     /// Makes the task; it does nothing until it runs.
     #[must_use]
     pub fn new(log: L, me: Me, settings: ClaimSettings, metrics: Metrics) -> Self {
-        let (told_tx, told) = mpsc::unbounded_channel();
-        let (wishes_tx, wishes) = mpsc::channel(QUEUE);
+        let (results_tx, results) = mpsc::unbounded_channel();
+        let (commands_tx, commands) = mpsc::channel(QUEUE);
         Self {
             log,
             me,
@@ -92,10 +92,10 @@
             keys: HashMap::new(),
             fates: BTreeMap::new(),
             last_number: 0,
-            told_tx,
-            told,
-            wishes_tx,
-            wishes,
+            results_tx,
+            results,
+            commands_tx,
+            commands,
         }
     }
 
@@ -103,8 +103,8 @@
     #[must_use]
     pub fn claiming(&self) -> Claiming {
         Claiming {
-            wishes: self.wishes_tx.clone(),
-            told: self.told_tx.clone(),
+            commands: self.commands_tx.clone(),
+            results: self.results_tx.clone(),
             good_for: Duration::from_millis(self.settings.memory_ms / 2),
         }
     }
@@ -121,8 +121,8 @@
         loop {
             let due = !appending && waits.is_none() && self.has_fresh();
             tokio::select! {
-                Some(wish) = self.wishes.recv() => self.on_wish(wish),
-                Some(told) = self.told.recv() => self.on_told(told),
+                Some(command) = self.commands.recv() => self.on_command(command),
+                Some(result) = self.results.recv() => self.on_result(result),
                 Some(batch) = records.recv() => {
                     self.on_records(batch, &mut waits);
                 }
@@ -154,9 +154,9 @@
         !self.fresh.is_empty() || !self.releases.is_empty()
     }
 
-    fn on_wish(&mut self, wish: Wish) {
-        match wish {
-            Wish::Fate(incarnation, number, reply) => {
+    fn on_command(&mut self, command: ClaimCommand) {
+        match command {
+            ClaimCommand::Fate(incarnation, number, reply) => {
                 let own = incarnation == self.me.incarnation;
                 let fate = if own {
                     self.fate(number)
@@ -165,7 +165,7 @@
                 };
                 let _gone = reply.send(fate);
             }
-            Wish::Claim(key, reply) => {
+            ClaimCommand::Claim(key, reply) => {
                 if !self.caught_up {
                     let _gone = reply.send(Decision::Undecided);
                     return;
@@ -201,15 +201,15 @@
         }
     }
 
-    fn on_told(&mut self, told: Told) {
-        match told {
-            Told::Done(number, result) => {
+    fn on_result(&mut self, claim_result: ClaimResult) {
+        match claim_result {
+            ClaimResult::Done(number, result) => {
                 self.keys.remove(&number);
                 let fits = |w: &FullAnswer| w.body.len() <= self.settings.result_bytes;
                 let fate = result.filter(fits).map_or(Fate::Unknown, Fate::Done);
                 self.remember(number, fate);
             }
-            Told::Release(number) => {
+            ClaimResult::Release(number) => {
                 if let Some(key) = self.keys.remove(&number) {
                     self.release(key, number);
                 }
