--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -1,7 +1,7 @@
 //! Claims on keys: appended to the log in batches before a request is dispatched.
 //!
 //! One task owns the fold of the claims stream and the results that this gateway remembers
-//! ([`task`]); the traffic threads talk to it through [`Claiming`]
+//! ([`task`]); the traffic threads talk to it through [`ClaimClient`]
 //! (`docs/design/at-most-once.md`).
 
 pub mod task;
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-pub use task::{ClaimTask, Me};
+pub use task::{ClaimTask, GatewayIdentity};
 
 /// How long a claim may stay undecided, however far its deadline is.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
@@ -129,14 +129,14 @@
 
 /// The traffic threads' side.
 #[derive(Clone, Debug)]
-pub struct Claiming {
+pub struct ClaimClient {
     commands: mpsc::Sender<ClaimCommand>,
     results: mpsc::UnboundedSender<ClaimResult>,
     /// For how long after the wish a claim may be relied on: half of the time that it is remembered.
     good_for: Duration,
 }
 
-impl Claiming {
+impl ClaimClient {
     /// Claims a key for a request.
     pub async fn claim(&self, key: KeyHash, deadline: Instant) -> Claimed {
         let asked = Instant::now();
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -1,6 +1,6 @@
 //! The task that owns the claims of one gateway.
 
-use super::{ClaimCommand, ClaimResult, Claiming, Decision, Fate, LONGEST_WAIT};
+use super::{ClaimClient, ClaimCommand, ClaimResult, Decision, Fate, LONGEST_WAIT};
 use crate::dispatch::FullAnswer;
 use crate::metrics::Metrics;
 use crate::settings::ClaimSettings;
@@ -21,7 +21,7 @@
 
 /// Who this gateway is in claims.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct GatewayIdentity {
     /// The entry VM.
     pub vm: VmName,
     /// The incarnation.
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct ClaimTask<L> {
     log: L,
-    me: Me,
+    identity: GatewayIdentity,
     settings: ClaimSettings,
     metrics: Metrics,
     claims: Claims,
@@ -76,12 +76,17 @@
 {
     /// Makes the task; it does nothing until it runs.
     #[must_use]
-    pub fn new(log: L, me: Me, settings: ClaimSettings, metrics: Metrics) -> Self {
+    pub fn new(
+        log: L,
+        identity: GatewayIdentity,
+        settings: ClaimSettings,
+        metrics: Metrics,
+    ) -> Self {
         let (results_tx, results) = mpsc::unbounded_channel();
         let (commands_tx, commands) = mpsc::channel(QUEUE);
         Self {
             log,
-            me,
+            identity,
             claims: Claims::default().with_retention(settings.memory_ms),
             settings,
             metrics,
@@ -101,8 +106,8 @@
 
     /// Gives the traffic threads' side.
     #[must_use]
-    pub fn claiming(&self) -> Claiming {
-        Claiming {
+    pub fn claim_client(&self) -> ClaimClient {
+        ClaimClient {
             commands: self.commands_tx.clone(),
             results: self.results_tx.clone(),
             good_for: Duration::from_millis(self.settings.memory_ms / 2),
@@ -157,7 +162,7 @@
     fn on_command(&mut self, command: ClaimCommand) {
         match command {
             ClaimCommand::Fate(incarnation, number, reply) => {
-                let own = incarnation == self.me.incarnation;
+                let own = incarnation == self.identity.incarnation;
                 let fate = if own {
                     self.fate(number)
                 } else {
@@ -185,7 +190,7 @@
     }
 
     fn held_by(&self, who: Claimant) -> Decision {
-        if who.vm == self.me.vm && who.incarnation == self.me.incarnation {
+        if who.vm == self.identity.vm && who.incarnation == self.identity.incarnation {
             return Decision::Own(self.fate(who.number));
         }
         Decision::Peer(who)
@@ -247,10 +252,10 @@
 
     fn claimant(&self, number: u64) -> Claimant {
         Claimant {
-            vm: self.me.vm.clone(),
-            incarnation: self.me.incarnation,
+            vm: self.identity.vm.clone(),
+            incarnation: self.identity.incarnation,
             number,
-            address: self.me.address.as_str().into(),
+            address: self.identity.address.as_str().into(),
         }
     }
 
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -167,7 +167,7 @@
         return answer(shared, active, None).await;
     };
     match shared
-        .claiming
+        .claim_client
         .claim(key, active.request.meta.deadline)
         .await
     {
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -13,7 +13,7 @@
 use limehollow_edge::peer::{self, PeerClient};
 use limehollow_edge::process::{daemon, incarnation, stop_signal};
 use limehollow_gateway::caller;
-use limehollow_gateway::claims::{ClaimTask, Claiming, Me};
+use limehollow_gateway::claims::{ClaimClient, ClaimTask, GatewayIdentity};
 use limehollow_gateway::control::{Control, Event};
 use limehollow_gateway::limit::Limited;
 use limehollow_gateway::metrics::Metrics;
@@ -72,20 +72,20 @@
     let born = incarnation();
     let admission = SharedAdmission::new(zone.clone(), Arc::clone(&table));
     let metrics = Metrics::default();
-    let me = Me {
+    let identity = GatewayIdentity {
         vm: vm.clone(),
         incarnation: born,
         address: settings.peer_address.clone(),
     };
     let log = HttpLog::new(&settings.platform_address)?;
-    let claims = ClaimTask::new(log.clone(), me, settings.claims, metrics.clone());
-    let claiming = claims.claiming();
+    let claims = ClaimTask::new(log.clone(), identity, settings.claims, metrics.clone());
+    let claim_client = claims.claim_client();
     let (table2, admission2) = (Arc::clone(&table), Arc::clone(&admission));
     let shared = Shared::new(
         settings,
         table2,
         admission2,
-        claiming.clone(),
+        claim_client.clone(),
         metrics.clone(),
     )?;
     let shared = Arc::new(shared);
@@ -96,7 +96,10 @@
     let members = HttpMembers::new(&shared.settings.platform_address)?;
     traffic.spawn(follow_list(members, events_tx.clone()));
     traffic.spawn(follow_controller(Arc::clone(&shared), events_tx.clone()));
-    traffic.spawn(answer_peers(shared.settings.peer_address.clone(), claiming));
+    traffic.spawn(answer_peers(
+        shared.settings.peer_address.clone(),
+        claim_client,
+    ));
     traffic.spawn(count_connections(Arc::clone(&shared)));
     let served = traffic.spawn(serve(Arc::clone(&shared), ready_rx, events_tx));
     let state = Control::new((vm, zone, born), table, admission, metrics, ready_tx);
@@ -221,15 +224,15 @@
     }
 }
 
-async fn answer_peers(address: String, claiming: Claiming) {
+async fn answer_peers(address: String, claim_client: ClaimClient) {
     let answer = |req| {
-        let claiming = claiming.clone();
+        let claim_client = claim_client.clone();
         async move {
             match req {
                 Request::Claim {
                     incarnation,
                     number,
-                } => Some(Reply::Claim(claiming.fate(incarnation, number).await)),
+                } => Some(Reply::Claim(claim_client.fate(incarnation, number).await)),
                 _ => None,
             }
         }
--- a/crates/limehollow-gateway/src/shared.rs
+++ b/crates/limehollow-gateway/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the traffic threads share.
 
-use crate::claims::Claiming;
+use crate::claims::ClaimClient;
 use crate::limit::Connections;
 use crate::metrics::Metrics;
 use crate::settings::GatewaySettings;
@@ -28,7 +28,7 @@
     /// Admission, and those who wait for it.
     pub admission: Arc<SharedAdmission>,
     /// Claims on keys.
-    pub claiming: Claiming,
+    pub claim_client: ClaimClient,
     /// The metrics.
     pub metrics: Metrics,
     /// Open connections of callers.
@@ -53,14 +53,14 @@
         settings: GatewaySettings,
         table: Arc<ArcSwap<Table>>,
         admission: Arc<SharedAdmission>,
-        claiming: Claiming,
+        claim_client: ClaimClient,
         metrics: Metrics,
     ) -> limehollow_edge::Result<Self> {
         Ok(Self {
             settings,
             table,
             admission,
-            claiming,
+            claim_client,
             metrics,
             connections: Arc::default(),
             unmet: Unmet::default(),
--- a/crates/limehollow-gateway/tests/claim_task.rs
+++ b/crates/limehollow-gateway/tests/claim_task.rs
@@ -2,7 +2,7 @@
 
 use limehollow_edge::error::StatusSnafu;
 use limehollow_edge::log::LogService;
-use limehollow_gateway::claims::{Claim, ClaimTask, Claimed, Claiming, Fate, Me};
+use limehollow_gateway::claims::{Claim, ClaimClient, ClaimTask, Claimed, Fate, GatewayIdentity};
 use limehollow_gateway::metrics::Metrics;
 use limehollow_gateway::settings::ClaimSettings;
 use limehollow_wire::platform::{LogRecord, Records};
@@ -109,28 +109,28 @@
     }
 }
 
-fn gateway(log: &MemoryLog, vm: &str) -> Claiming {
-    let me = Me {
+fn gateway(log: &MemoryLog, vm: &str) -> ClaimClient {
+    let identity = GatewayIdentity {
         vm: vm.into(),
         incarnation: 1,
         address: "127.0.0.1:1".to_owned(),
     };
     let task = ClaimTask::new(
         log.clone(),
-        me,
+        identity,
         ClaimSettings::default(),
         Metrics::default(),
     );
-    let claiming = task.claiming();
+    let claim_client = task.claim_client();
     tokio::spawn(task.run());
-    claiming
+    claim_client
 }
 
 fn soon() -> Instant {
     Instant::now() + Duration::from_secs(30)
 }
 
-async fn mine(c: &Claiming, key: u128) -> Claim {
+async fn mine(c: &ClaimClient, key: u128) -> Claim {
     match c.claim(key, soon()).await {
         Claimed::Mine(claim) => claim,
         other => panic!("{other:?} is not mine"),
