--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -40,11 +40,11 @@
 
 /// The answer to the wish to claim a key.
 #[derive(Debug)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The claim stands first: the request may be dispatched, by this gateway alone.
-    Mine(Claim),
+    Acquired(Claim),
     /// The key was claimed before.
-    Other(Fate),
+    Duplicate(Fate),
     /// It can't be decided now; the request was not dispatched. Come back after this time.
     Undecided(Duration),
 }
@@ -121,9 +121,9 @@
 
 #[derive(Debug)]
 enum Decision {
-    Mine(u64),
-    Own(Fate),
-    Peer(Claimant),
+    Acquired(u64),
+    OwnDuplicate(Fate),
+    PeerDuplicate(Claimant),
     Undecided,
 }
 
@@ -138,7 +138,7 @@
 
 impl ClaimClient {
     /// Claims a key for a request.
-    pub async fn claim(&self, key: KeyHash, deadline: Instant) -> Claimed {
+    pub async fn claim(&self, key: KeyHash, deadline: Instant) -> ClaimOutcome {
         let asked = Instant::now();
         let (tx, rx) = oneshot::channel();
         if self
@@ -146,15 +146,15 @@
             .try_send(ClaimCommand::Claim(key, tx))
             .is_err()
         {
-            return Claimed::Undecided(RETRY_AFTER);
+            return ClaimOutcome::Undecided(RETRY_AFTER);
         }
         let limit = deadline.min(Instant::now() + LONGEST_WAIT);
         // Giving up here is safe: the task hands out a number only to somebody who still waits.
         let decision = tokio::time::timeout_at(limit, rx).await;
         match decision {
-            Ok(Ok(Decision::Mine(number))) => {
+            Ok(Ok(Decision::Acquired(number))) => {
                 let dispatched = false.into();
-                Claimed::Mine(Claim {
+                ClaimOutcome::Acquired(Claim {
                     number,
                     tx: self.results.clone(),
                     dispatched,
@@ -162,9 +162,9 @@
                     reported: false,
                 })
             }
-            Ok(Ok(Decision::Own(fate))) => Claimed::Other(fate),
-            Ok(Ok(Decision::Peer(who))) => Claimed::Other(ask_peer(&who).await),
-            Ok(Ok(Decision::Undecided) | Err(_)) | Err(_) => Claimed::Undecided(RETRY_AFTER),
+            Ok(Ok(Decision::OwnDuplicate(fate))) => ClaimOutcome::Duplicate(fate),
+            Ok(Ok(Decision::PeerDuplicate(who))) => ClaimOutcome::Duplicate(ask_peer(&who).await),
+            Ok(Ok(Decision::Undecided) | Err(_)) | Err(_) => ClaimOutcome::Undecided(RETRY_AFTER),
         }
     }
 
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -191,9 +191,9 @@
 
     fn held_by(&self, who: Claimant) -> Decision {
         if who.vm == self.identity.vm && who.incarnation == self.identity.incarnation {
-            return Decision::Own(self.fate(who.number));
+            return Decision::OwnDuplicate(self.fate(who.number));
         }
-        Decision::Peer(who)
+        Decision::PeerDuplicate(who)
     }
 
     /// Gives what became of a claim of this gateway. One that nobody was given is released.
@@ -316,7 +316,7 @@
         match self.claims.state(p.key) {
             ClaimState::Held(who) if who == mine => {
                 self.keys.insert(p.number, p.key);
-                if p.reply.send(Decision::Mine(p.number)).is_err() {
+                if p.reply.send(Decision::Acquired(p.number)).is_err() {
                     // The caller has been told that nothing ran, so nothing may run any more.
                     self.keys.remove(&p.number);
                     self.release(p.key, p.number);
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{ErrorAnswer, REPLAYED, VERDICT};
 use crate::attempt::{read_full_answer, send_request};
-use crate::claims::{Claim, Claimed, Fate};
+use crate::claims::{Claim, ClaimOutcome, Fate};
 use crate::relay::Relay;
 use crate::request::ParsedRequest;
 use crate::shared::Shared;
@@ -171,9 +171,9 @@
         .claim(key, active.request.meta.deadline)
         .await
     {
-        Claimed::Mine(claim) => answer(shared, active, Some(claim)).await,
-        Claimed::Other(fate) => answer_duplicate(shared, &active, fate),
-        Claimed::Undecided(after) => {
+        ClaimOutcome::Acquired(claim) => answer(shared, active, Some(claim)).await,
+        ClaimOutcome::Duplicate(fate) => answer_duplicate(shared, &active, fate),
+        ClaimOutcome::Undecided(after) => {
             active.record_outcome(shared, "refused");
             let message = "whether this key was used before can't be decided now";
             let status = StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/limehollow-gateway/tests/claim_task.rs
+++ b/crates/limehollow-gateway/tests/claim_task.rs
@@ -2,7 +2,9 @@
 
 use limehollow_edge::error::StatusSnafu;
 use limehollow_edge::log::LogService;
-use limehollow_gateway::claims::{Claim, ClaimClient, ClaimTask, Claimed, Fate, GatewayIdentity};
+use limehollow_gateway::claims::{
+    Claim, ClaimClient, ClaimOutcome, ClaimTask, Fate, GatewayIdentity,
+};
 use limehollow_gateway::metrics::Metrics;
 use limehollow_gateway::settings::ClaimSettings;
 use limehollow_wire::platform::{LogRecord, Records};
@@ -132,7 +134,7 @@
 
 async fn mine(c: &ClaimClient, key: u128) -> Claim {
     match c.claim(key, soon()).await {
-        Claimed::Mine(claim) => claim,
+        ClaimOutcome::Acquired(claim) => claim,
         other => panic!("{other:?} is not mine"),
     }
 }
@@ -149,7 +151,7 @@
     let (a, b) = tokio::join!(one.claim(7, soon()), two.claim(7, soon()));
     let mines = [&a, &b]
         .iter()
-        .filter(|c| matches!(c, Claimed::Mine(_)))
+        .filter(|c| matches!(c, ClaimOutcome::Acquired(_)))
         .count();
     assert_eq!(mines, 1, "{a:?} {b:?}");
 }
@@ -162,13 +164,13 @@
     let claim = mine(&g, 7).await;
     assert!(matches!(
         g.claim(7, soon()).await,
-        Claimed::Other(Fate::Running)
+        ClaimOutcome::Duplicate(Fate::Running)
     ));
     claim.done(None);
     settle().await;
     assert!(matches!(
         g.claim(7, soon()).await,
-        Claimed::Other(Fate::Unknown)
+        ClaimOutcome::Duplicate(Fate::Unknown)
     ));
 }
 
@@ -194,7 +196,7 @@
     drop(again);
     settle().await;
     assert!(
-        !matches!(one.claim(7, soon()).await, Claimed::Mine(_)),
+        !matches!(one.claim(7, soon()).await, ClaimOutcome::Acquired(_)),
         "it may have run"
     );
 }
@@ -208,7 +210,10 @@
     let claim = mine(&one, 7).await;
     assert!(claim.stands());
     log.set(Fault::Nothing);
-    assert!(!matches!(two.claim(7, soon()).await, Claimed::Mine(_)));
+    assert!(!matches!(
+        two.claim(7, soon()).await,
+        ClaimOutcome::Acquired(_)
+    ));
 }
 
 #[tokio::test(start_paused = true)]
@@ -218,7 +223,10 @@
     settle().await;
     log.set(Fault::AppendsLost);
     let started = Instant::now();
-    assert!(matches!(one.claim(7, soon()).await, Claimed::Undecided(_)));
+    assert!(matches!(
+        one.claim(7, soon()).await,
+        ClaimOutcome::Undecided(_)
+    ));
     assert!(
         started.elapsed() < Duration::from_secs(3),
         "it is said soon"
@@ -233,7 +241,10 @@
     let one = gateway(&log, "vm-1");
     settle().await;
     log.set(Fault::Down);
-    assert!(matches!(one.claim(7, soon()).await, Claimed::Undecided(_)));
+    assert!(matches!(
+        one.claim(7, soon()).await,
+        ClaimOutcome::Undecided(_)
+    ));
     log.set(Fault::Nothing);
     sleep(Duration::from_secs(3)).await;
     mine(&one, 7).await;
@@ -246,7 +257,7 @@
     let one = gateway(&log, "vm-1");
     settle().await;
     let wish = one.claim(7, Instant::now() + Duration::from_millis(1));
-    assert!(matches!(wish.await, Claimed::Undecided(_)));
+    assert!(matches!(wish.await, ClaimOutcome::Undecided(_)));
     settle().await;
     mine(&one, 7).await;
     assert!(log.text().contains("\"release\":true") || !log.text().contains("\"num\":1,"));
@@ -276,7 +287,9 @@
     let wishes: Vec<_> = (0..200_u128)
         .map(|key| {
             let one = one.clone();
-            tokio::spawn(async move { matches!(one.claim(key, soon()).await, Claimed::Mine(_)) })
+            tokio::spawn(async move {
+                matches!(one.claim(key, soon()).await, ClaimOutcome::Acquired(_))
+            })
         })
         .collect();
     for w in wishes {
