--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -57,7 +57,7 @@
     tx: mpsc::UnboundedSender<ClaimResult>,
     dispatched: std::sync::atomic::AtomicBool,
     /// Until when the claim surely stands.
-    good_until: Instant,
+    valid_until: Instant,
     reported: bool,
 }
 
@@ -65,18 +65,18 @@
     /// Tells whether the claim surely still stands. Others forget it when its time is over, and this
     /// process may have been paused since it was decided.
     #[must_use]
-    pub fn stands(&self) -> bool {
-        Instant::now() < self.good_until
+    pub fn is_valid(&self) -> bool {
+        Instant::now() < self.valid_until
     }
 
     /// Notes that the request is about to leave.
-    pub fn dispatched(&self) {
+    pub fn mark_dispatched(&self) {
         self.dispatched
             .store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
     /// Notes that the request ended and may have run, with its result if there is one.
-    pub fn done(mut self, result: Option<FullAnswer>) {
+    pub fn complete(mut self, result: Option<FullAnswer>) {
         self.report(ClaimResult::Done(self.number, result));
     }
 
@@ -133,7 +133,7 @@
     commands: mpsc::Sender<ClaimCommand>,
     results: mpsc::UnboundedSender<ClaimResult>,
     /// For how long after the wish a claim may be relied on: half of the time that it is remembered.
-    good_for: Duration,
+    valid_for: Duration,
 }
 
 impl ClaimClient {
@@ -158,7 +158,7 @@
                     number,
                     tx: self.results.clone(),
                     dispatched,
-                    good_until: asked + self.good_for,
+                    valid_until: asked + self.valid_for,
                     reported: false,
                 })
             }
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -110,7 +110,7 @@
         ClaimClient {
             commands: self.commands_tx.clone(),
             results: self.results_tx.clone(),
-            good_for: Duration::from_millis(self.settings.memory_ms / 2),
+            valid_for: Duration::from_millis(self.settings.memory_ms / 2),
         }
     }
 
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -230,7 +230,7 @@
             Ok(admitted) => admitted,
             Err(error) => return finish_with_error(shared, &active, claim, &error),
         };
-        if claim.as_ref().is_some_and(|c| !c.stands()) {
+        if claim.as_ref().is_some_and(|c| !c.is_valid()) {
             let failure = Failure::Deadline;
             let error = failure_answer(failure, active.attempts.verdict);
             return finish_with_error(shared, &active, claim, &error);
@@ -241,14 +241,14 @@
             shared.metrics.retries.inc();
         }
         if let Some(c) = &claim {
-            c.dispatched();
+            c.mark_dispatched();
         }
         let failure = match send_request(shared, &active.request, &target, 0).await {
             Ok(h) if active.request.stream && h.status.is_success() => {
                 observe_first(shared, sent_at);
                 let (status, headers) = (h.status, h.headers.clone());
                 if let Some(c) = claim {
-                    c.done(None);
+                    c.complete(None);
                 }
                 let relay = Relay::new(
                     Arc::clone(shared),
@@ -334,7 +334,7 @@
     };
     active.record_outcome(shared, outcome);
     if let Some(c) = claim {
-        c.done(Some(w.clone()));
+        c.complete(Some(w.clone()));
     }
     w.response()
 }
@@ -347,7 +347,7 @@
 ) -> Response {
     match (error.verdict, claim) {
         (Verdict::NotRun, Some(c)) => c.release(),
-        (Verdict::MayHaveRun, Some(c)) => c.done(None),
+        (Verdict::MayHaveRun, Some(c)) => c.complete(None),
         (_, None) => {}
     }
     let outcome = if error.verdict == Verdict::NotRun {
--- a/crates/limehollow-gateway/tests/claim_task.rs
+++ b/crates/limehollow-gateway/tests/claim_task.rs
@@ -166,7 +166,7 @@
         g.claim(7, soon()).await,
         ClaimOutcome::Duplicate(Fate::Running)
     ));
-    claim.done(None);
+    claim.complete(None);
     settle().await;
     assert!(matches!(
         g.claim(7, soon()).await,
@@ -192,7 +192,7 @@
     drop(mine(&one, 7).await);
     settle().await;
     let again = mine(&two, 7).await;
-    again.dispatched();
+    again.mark_dispatched();
     drop(again);
     settle().await;
     assert!(
@@ -208,7 +208,7 @@
     settle().await;
     log.set(Fault::AnswersLost);
     let claim = mine(&one, 7).await;
-    assert!(claim.stands());
+    assert!(claim.is_valid());
     log.set(Fault::Nothing);
     assert!(!matches!(
         two.claim(7, soon()).await,
@@ -271,12 +271,12 @@
     let one = gateway(&log, "vm-1");
     settle().await;
     let claim = mine(&one, 7).await;
-    assert!(claim.stands());
+    assert!(claim.is_valid());
     sleep(Duration::from_millis(
         ClaimSettings::default().memory_ms / 2,
     ))
     .await;
-    assert!(!claim.stands());
+    assert!(!claim.is_valid());
 }
 
 #[tokio::test(start_paused = true)]
