--- a/crates/limehollow-gateway/src/limit.rs
+++ b/crates/limehollow-gateway/src/limit.rs
@@ -36,7 +36,7 @@
     ///
     /// The HTTP library ends a chunked body properly even if it fails, and then a cut answer would
     /// look whole.
-    pub fn cut(&self, caller: SocketAddr) {
+    pub fn abort(&self, caller: SocketAddr) {
         if let Some(flag) = self.lock().get(&caller) {
             flag.store(true, Ordering::Relaxed);
         }
@@ -65,13 +65,13 @@
 
 /// An acceptor that counts.
 #[derive(Debug)]
-pub struct Limited<A> {
+pub struct LimitedAcceptor<A> {
     inner: A,
     connections: Arc<Connections>,
     limit: usize,
 }
 
-impl<A> Limited<A> {
+impl<A> LimitedAcceptor<A> {
     /// Bounds an acceptor.
     #[must_use]
     pub fn new(inner: A, connections: Arc<Connections>, limit: usize) -> Self {
@@ -83,11 +83,11 @@
     }
 }
 
-impl<A> Acceptor for Limited<A>
+impl<A> Acceptor for LimitedAcceptor<A>
 where
     A: Acceptor,
 {
-    type Io = Counted<A::Io>;
+    type Io = CountedConnection<A::Io>;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         self.inner.local_addr()
@@ -102,7 +102,7 @@
         let cut = self.connections.opened(caller);
         let connections = Arc::clone(&self.connections);
         Ok((
-            Counted {
+            CountedConnection {
                 io,
                 caller,
                 cut,
@@ -117,14 +117,14 @@
 
 /// A connection that counts itself out when it closes, and that can be cut.
 #[derive(Debug)]
-pub struct Counted<T> {
+pub struct CountedConnection<T> {
     io: T,
     caller: Option<SocketAddr>,
     cut: Arc<AtomicBool>,
     connections: Arc<Connections>,
 }
 
-impl<T> Counted<T> {
+impl<T> CountedConnection<T> {
     fn check(&self) -> io::Result<()> {
         if self.cut.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::ConnectionAborted.into());
@@ -133,13 +133,13 @@
     }
 }
 
-impl<T> Drop for Counted<T> {
+impl<T> Drop for CountedConnection<T> {
     fn drop(&mut self) {
         self.connections.closed(self.caller);
     }
 }
 
-impl<T> AsyncRead for Counted<T>
+impl<T> AsyncRead for CountedConnection<T>
 where
     T: AsyncRead + Unpin,
 {
@@ -152,7 +152,7 @@
     }
 }
 
-impl<T> AsyncWrite for Counted<T>
+impl<T> AsyncWrite for CountedConnection<T>
 where
     T: AsyncWrite + Unpin,
 {
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -15,7 +15,7 @@
 use limehollow_gateway::caller;
 use limehollow_gateway::claims::{ClaimClient, ClaimTask, GatewayIdentity};
 use limehollow_gateway::control::{Control, Event};
-use limehollow_gateway::limit::Limited;
+use limehollow_gateway::limit::LimitedAcceptor;
 use limehollow_gateway::metrics::Metrics;
 use limehollow_gateway::settings::GatewaySettings;
 use limehollow_gateway::shared::Shared;
@@ -153,7 +153,7 @@
     };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let acceptor = TcpAcceptor::from_tokio(listener).map_err(failed)?;
-    let acceptor = Limited::new(
+    let acceptor = LimitedAcceptor::new(
         acceptor,
         Arc::clone(&shared.connections),
         s.limits.connections,
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -198,7 +198,7 @@
     async fn break_off(&self) {
         sleep(FLUSH_TIME).await;
         if let Some(remote) = self.active.request.meta.remote {
-            self.shared.connections.cut(remote);
+            self.shared.connections.abort(remote);
         }
     }
 
