--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -66,7 +66,7 @@
         let slot = shared.admission.admit(self.admission_request.clone()).await;
         let slot = slot.map_err(|r| {
             if let Subject::Model(m) = &self.request.subject {
-                shared.unmet.note(m);
+                shared.unmet_demand.record(m);
             }
             ErrorAnswer::from_refusal(&r, verdict)
         })?;
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -213,7 +213,7 @@
                 return;
             }
         }
-        let words = shared.unmet.take(said.elapsed());
+        let words = shared.unmet_demand.drain(said.elapsed());
         said = Instant::now();
         if let Ok(Reply::News(news)) = client.ask(&Request::News(words), NEWS_TIMEOUT).await
             && events.send(Event::News(news)).await.is_err()
--- a/crates/limehollow-gateway/src/shared.rs
+++ b/crates/limehollow-gateway/src/shared.rs
@@ -34,7 +34,7 @@
     /// Open connections of callers.
     pub connections: Arc<Connections>,
     /// What was refused since the controller was last told.
-    pub unmet: Unmet,
+    pub unmet_demand: UnmetDemand,
     /// For requests that may be sent again.
     pub client: reqwest::Client,
     /// For requests that may not: each has a connection of its own, since on a used one a request
@@ -63,7 +63,7 @@
             claim_client,
             metrics,
             connections: Arc::default(),
-            unmet: Unmet::default(),
+            unmet_demand: UnmetDemand::default(),
             client: client(usize::MAX)?,
             once_client: client(0)?,
             budget: Mutex::default(),
@@ -87,25 +87,25 @@
     builder.build().map_err(|e| classify("client", e))
 }
 
-/// The most models of which unmet demand is told at once.
-const MAX_TOLD: usize = 8;
+/// The most models of which unmet_demand demand is told at once.
+const MAX_REPORTED: usize = 8;
 
 /// Counts refused requests by model.
 #[derive(Debug, Default)]
-pub struct Unmet(Mutex<HashMap<SmolStr, u32>>);
+pub struct UnmetDemand(Mutex<HashMap<SmolStr, u32>>);
 
-impl Unmet {
+impl UnmetDemand {
     /// Notes a request that could not be taken for want of a replica with room.
-    pub fn note(&self, model: &SmolStr) {
+    pub fn record(&self, model: &SmolStr) {
         *self.lock().entry(model.clone()).or_default() += 1;
     }
 
     /// Gives what was refused over a time, the most first, and starts anew.
-    pub fn take(&self, over: Duration) -> Vec<WireUnmet> {
+    pub fn drain(&self, over: Duration) -> Vec<WireUnmet> {
         let counts = std::mem::take(&mut *self.lock());
         let mut rows: Vec<(SmolStr, u32)> = counts.into_iter().collect();
         rows.sort_by_key(|(_, n)| std::cmp::Reverse(*n));
-        rows.truncate(MAX_TOLD);
+        rows.truncate(MAX_REPORTED);
         let millis = u32::try_from(over.as_millis()).unwrap_or(u32::MAX).max(1);
         rows.into_iter()
             .map(|(model, n)| {
