--- a/crates/limehollow-gateway/src/lib.rs
+++ b/crates/limehollow-gateway/src/lib.rs
@@ -1,9 +1,10 @@
-//! The gateway: takes callers' requests, routes them, and answers each once.
+//! The gateway: accepts callers' requests, routes them to endpoints and answers each request once.
 //!
-//! Traffic runs on several threads and reads the routing table without a lock; the state that the
-//! log agrees on is on one thread, in [`control`]. What is decided is decided in [`limehollow`]; here
-//! a request is read ([`request`]), admitted ([`shared_admission`]), sent ([`attempt`]), streamed ([`relay`]) and,
-//! if it carries a key, claimed ([`claims`]).
+//! Request handling runs on several threads that read the routing table without a lock. The state
+//! replicated through the log belongs to one thread, in [`control`]. Decisions are made by the
+//! [`limehollow`] crate; this crate does the I/O around them: it parses a request ([`request`]),
+//! admits it ([`shared_admission`]), sends it ([`attempt`]), streams the answer ([`relay`]) and
+//! claims the idempotency key if the request has one ([`claims`]).
 
 pub mod answer;
 pub mod attempt;
