--- a/crates/limehollow-gateway/src/answer.rs
+++ b/crates/limehollow-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answers that limehollow itself gives in place of a result.
+//! Error answers that the gateway itself sends when there is no result from an endpoint.
 
 use limehollow::admission::{Reason, Refusal};
 use limehollow::verdict::Verdict;
@@ -7,28 +7,28 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Says whether the request ran: `not-run` or `unknown`.
+/// Response header that states whether the request ran: `not-run` or `unknown`.
 pub const VERDICT: &str = "x-limehollow-verdict";
-/// Stands on a result that was remembered from an earlier request with the same key.
+/// Response header of a result that was stored for an earlier request with the same key.
 pub const REPLAYED: &str = "x-limehollow-replayed";
 
-/// An answer in place of a result.
+/// An error answer of the gateway, sent in place of an endpoint's result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorAnswer {
     /// The status code.
     pub status: StatusCode,
-    /// The short word for programs.
+    /// The machine-readable error code.
     pub code: &'static str,
-    /// The sentence for people.
+    /// The human-readable message.
     pub message: String,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When it is worth coming back, if ever.
+    /// When a retry may succeed; `None` if the same request always fails.
     pub retry_after: Option<Duration>,
 }
 
 impl ErrorAnswer {
-    /// Makes an answer to a request that did not run and never will as it is.
+    /// Creates the answer to a request that did not run and that fails again if repeated unchanged.
     #[must_use]
     pub fn permanent<S>(status: StatusCode, code: &'static str, message: S) -> Self
     where
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Makes an answer that may be different later.
+    /// Creates the answer to a request that may succeed if it is retried after `after`.
     #[must_use]
     pub fn retryable<S>(
         status: StatusCode,
@@ -65,9 +65,9 @@
         }
     }
 
-    /// Makes the answer to a refusal by admission.
+    /// Creates the answer to a request that admission refused.
     ///
-    /// `verdict` is what is known from attempts that were made before.
+    /// `verdict` is the verdict of the attempts made before the refusal.
     #[must_use]
     pub fn from_refusal(r: &Refusal, verdict: Verdict) -> Self {
         let (status, code, message) = match r.reason {
@@ -95,7 +95,7 @@
         Self::retryable(status, code, message, verdict, r.retry_after)
     }
 
-    /// Gives the body, as it also stands in a stream that is cut.
+    /// Returns the JSON body. The last event of a truncated stream has the same content.
     #[must_use]
     pub fn body(&self) -> String {
         let kind = if self.status.is_client_error() && self.retry_after.is_none() {
@@ -106,7 +106,7 @@
         json!({ "error": { "message": self.message, "type": kind, "code": self.code } }).to_string()
     }
 
-    /// Gives the response.
+    /// Returns the HTTP response.
     #[must_use]
     pub fn response(&self) -> Response {
         let mut b = Response::builder()
