--- a/crates/limehollow-gateway/src/attempt.rs
+++ b/crates/limehollow-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint.
+//! Sends a request to one endpoint and reads the answer: a single attempt.
 
 use crate::request::{ParsedRequest, REQUEST_ID, forwarded_headers, header_value};
 use crate::shared::Shared;
@@ -10,29 +10,29 @@
 use poem::http::{HeaderMap, StatusCode};
 use tokio::time::{Instant, timeout_at};
 
-/// The largest answer that is read whole, in bytes.
+/// The largest answer body that is buffered in full, in bytes.
 pub const MAX_ANSWER: usize = 16 << 20;
 
-/// The head of an endpoint's answer; its body is still to be read.
+/// The status and headers of an endpoint's answer whose body has not been read yet.
 #[derive(Debug)]
 pub struct AnswerHead {
     /// The status code.
     pub status: StatusCode,
-    /// The headers to pass on.
+    /// The headers to forward to the caller.
     pub headers: HeaderMap,
-    /// The rest of the answer.
+    /// The response from which the body is read.
     pub body: reqwest::Response,
-    /// When the head came.
+    /// When the status and headers arrived.
     pub at: Instant,
 }
 
-/// Sends a request to an endpoint and reads the head of its answer.
+/// Sends a request to an endpoint and reads the status and headers of its answer.
 ///
-/// `resume` is the number of tokens that were delivered before.
+/// `resume` is the number of tokens already delivered to the caller by earlier attempts.
 ///
 /// # Errors
 ///
-/// What happened, from which the verdict follows.
+/// Returns the kind of failure, from which the verdict is derived.
 pub async fn send_request(
     shared: &Shared,
     request: &ParsedRequest,
@@ -74,7 +74,8 @@
     })
 }
 
-/// Refuses an answer that names another request: whatever came in between, it isn't ours to give.
+/// Rejects an answer whose request ID is that of another request, since it must not reach this
+/// caller.
 fn check_identity(res: &reqwest::Response, request: &ParsedRequest) -> Result<(), Failure> {
     match res.headers().get(REQUEST_ID) {
         Some(id) if id.as_bytes() != request.meta.id.as_bytes() => Err(Failure::Broken),
@@ -86,7 +87,8 @@
 ///
 /// # Errors
 ///
-/// [`Failure::Broken`] if it ends early or is too large, [`Failure::Deadline`] if it comes too late.
+/// Returns [`Failure::Broken`] if the body ends early or exceeds [`MAX_ANSWER`], and
+/// [`Failure::Deadline`] if it is not complete by the deadline.
 pub async fn read_full_answer(
     mut head: AnswerHead,
     deadline: Instant,
