--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' side: routes, limits and the reading of requests.
+//! The HTTP interface for callers: routes, limits and the reading of request bodies.
 
 use crate::answer::ErrorAnswer;
 use crate::dispatch::run;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Makes the routes of the callers' side.
+/// Returns the HTTP routes for callers.
 pub fn routes(shared: Arc<Shared>) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/v1/models", models)
@@ -29,7 +29,7 @@
         .data(shared)
 }
 
-/// Answers with the request's identity on it, whatever the answer is.
+/// Checks the limits, runs `f` and adds the request ID to the response, also to an error.
 async fn identified<F, R>(shared: &Shared, req: &Request, f: F) -> Response
 where
     F: FnOnce(SmolStr) -> R,
@@ -88,7 +88,7 @@
     request::parse_meta(req.headers(), remote, id, &wait_limits).map_err(|bad| bad_request(&bad))
 }
 
-/// Reads a body within the limits on size and time, and within the request's own deadline.
+/// Reads a body within the configured limits on size and time.
 async fn read_body(shared: &Shared, body: Body) -> Result<Bytes, ErrorAnswer> {
     let limits = &shared.settings.limits;
     let read = async {
@@ -185,7 +185,8 @@
     .await
 }
 
-/// Gives the path and query at the service: what follows its name, as the caller wrote it.
+/// Returns the path and query to send to the service: what follows its name in the caller's URL,
+/// not decoded.
 fn service_path(req: &Request, name: &str) -> SmolStr {
     let whole = req
         .original_uri()
