--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims on keys: appended to the log in batches before a request is dispatched.
+//! Claims on idempotency keys: appended to the log in batches before a request is dispatched.
 //!
-//! One task owns the fold of the claims stream and the results that this gateway remembers
-//! ([`task`]); the traffic threads talk to it through [`ClaimClient`]
+//! One task ([`task`]) owns the state computed from the claims stream and the results that this
+//! gateway stores; the traffic threads communicate with it through [`ClaimClient`]
 //! (`docs/design/at-most-once.md`).
 
 pub mod task;
@@ -20,67 +20,71 @@
 
 pub use task::{ClaimTask, GatewayIdentity};
 
-/// How long a claim may stay undecided, however far its deadline is.
+/// How long a claim may stay undecided, even if the deadline of its request is later.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a request that was claimed before.
+/// The state of a request whose key was claimed before.
 #[derive(Clone, Debug)]
 pub enum Fate {
-    /// It is under way.
+    /// The request is still running.
     Running,
-    /// It is done, with this result.
+    /// The request has completed with this result.
     Done(FullAnswer),
-    /// It did not run and won't; its claim is being given back.
+    /// The request did not run and won't run; its claim is being released.
     Released,
-    /// It may have run; nobody knows its result any more.
+    /// The request may have run, and its result is not known.
     Unknown,
 }
 
-/// The answer to the wish to claim a key.
+/// The outcome of an attempt to claim a key.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// The claim stands first: the request may be dispatched, by this gateway alone.
+    /// The claim is the first one for its key: only this gateway may dispatch the request.
     Acquired(Claim),
     /// The key was claimed before.
     Duplicate(Fate),
-    /// It can't be decided now; the request was not dispatched. Come back after this time.
+    /// The claim can't be decided now and the request was not dispatched; retry after this time.
     Undecided(Duration),
 }
 
-/// A claim that stands. Dropped without a word, it counts as possibly run if it was dispatched, and
-/// is given back otherwise.
+/// A claim that was acquired.
+///
+/// If it is dropped without [`complete`](Self::complete) or [`release`](Self::release), the request
+/// counts as possibly run if it was dispatched; otherwise the claim is released.
 #[derive(Debug)]
 pub struct Claim {
     number: u64,
     tx: mpsc::UnboundedSender<ClaimResult>,
     dispatched: std::sync::atomic::AtomicBool,
-    /// Until when the claim surely stands.
+    /// The time until which the claim is certain to be in force.
     valid_until: Instant,
     reported: bool,
 }
 
 impl Claim {
-    /// Tells whether the claim surely still stands. Others forget it when its time is over, and this
-    /// process may have been paused since it was decided.
+    /// Returns `true` if the claim is certain to be still in force.
+    ///
+    /// Other gateways forget a claim after its retention time, and this process may have been paused
+    /// since the claim was decided.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         Instant::now() < self.valid_until
     }
 
-    /// Notes that the request is about to leave.
+    /// Records that the request is about to be sent.
     pub fn mark_dispatched(&self) {
         self.dispatched
             .store(true, std::sync::atomic::Ordering::Relaxed);
     }
 
-    /// Notes that the request ended and may have run, with its result if there is one.
+    /// Records that the request ended and may have run, with its result if there is one.
     pub fn complete(mut self, result: Option<FullAnswer>) {
         self.report(ClaimResult::Done(self.number, result));
     }
 
-    /// Notes that the request surely did not run: the key is free again.
+    /// Records that the request certainly did not run, which frees the key.
     pub fn release(mut self) {
         self.report(ClaimResult::Release(self.number));
     }
@@ -127,19 +131,19 @@
     Undecided,
 }
 
-/// The traffic threads' side.
+/// The handle through which the traffic threads use the claim task.
 #[derive(Clone, Debug)]
 pub struct ClaimClient {
     commands: mpsc::Sender<ClaimCommand>,
     results: mpsc::UnboundedSender<ClaimResult>,
-    /// For how long after the wish a claim may be relied on: half of the time that it is remembered.
+    /// How long after it was requested a claim may be relied on: half of its retention time.
     valid_for: Duration,
 }
 
 impl ClaimClient {
     /// Claims a key for a request.
     pub async fn claim(&self, key: KeyHash, deadline: Instant) -> ClaimOutcome {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let (tx, rx) = oneshot::channel();
         if self
             .commands
@@ -149,7 +153,7 @@
             return ClaimOutcome::Undecided(RETRY_AFTER);
         }
         let limit = deadline.min(Instant::now() + LONGEST_WAIT);
-        // Giving up here is safe: the task hands out a number only to somebody who still waits.
+        // A timeout here is safe: the task only grants a claim whose receiver is still waiting.
         let decision = tokio::time::timeout_at(limit, rx).await;
         match decision {
             Ok(Ok(Decision::Acquired(number))) => {
@@ -158,7 +162,7 @@
                     number,
                     tx: self.results.clone(),
                     dispatched,
-                    valid_until: asked + self.valid_for,
+                    valid_until: requested_at + self.valid_for,
                     reported: false,
                 })
             }
@@ -168,14 +172,14 @@
         }
     }
 
-    /// Answers another gateway that asks what became of a claim of this one.
+    /// Returns the state of one of this gateway's claims, as another gateway queries it.
     pub async fn fate(&self, incarnation: Incarnation, number: u64) -> ClaimFate {
         let (tx, rx) = oneshot::channel();
-        let asked = self
+        let sent = self
             .commands
             .send(ClaimCommand::Fate(incarnation, number, tx))
             .await;
-        let fate = match asked {
+        let fate = match sent {
             Ok(()) => rx.await.unwrap_or(Fate::Unknown),
             Err(_) => Fate::Unknown,
         };
@@ -183,7 +187,7 @@
     }
 }
 
-/// Asks the gateway that claimed a key what became of the request.
+/// Queries the gateway that claimed a key for the state of the request.
 async fn query_peer(who: &Claimant) -> Fate {
     let req = Request::Claim {
         incarnation: who.incarnation,
