--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the claims of one gateway.
+//! The task that owns the claims of one gateway: it appends claims and releases to the log, reads the
+//! claims stream back and decides each claim by the order in the log.
 
 use super::{ClaimClient, ClaimCommand, ClaimResult, Decision, Fate, LONGEST_WAIT};
 use crate::dispatch::FullAnswer;
@@ -19,18 +20,18 @@
 const LOG_PAUSE: Duration = Duration::from_millis(200);
 const QUEUE: usize = 4_096;
 
-/// Who this gateway is in claims.
+/// The identity of this gateway in its claims.
 #[derive(Clone, Debug)]
 pub struct GatewayIdentity {
     /// The entry VM.
     pub vm: VmName,
-    /// The incarnation.
+    /// The incarnation of the gateway's process.
     pub incarnation: Incarnation,
-    /// Where other gateways reach it.
+    /// The address at which other gateways reach it.
     pub address: String,
 }
 
-/// A claim that was appended or is about to be.
+/// A claim that was appended or will be appended, and is not decided yet.
 #[derive(Debug)]
 struct Pending {
     key: KeyHash,
@@ -38,7 +39,7 @@
     reply: oneshot::Sender<Decision>,
 }
 
-/// The task that owns the claims.
+/// The task that owns the claims of this gateway.
 #[derive(Debug)]
 pub struct ClaimTask<L> {
     log: L,
@@ -46,11 +47,11 @@
     settings: ClaimSettings,
     metrics: Metrics,
     claims: Claims,
-    /// Whether the stream was read to its end once.
+    /// Whether the stream has been read to its end at least once.
     caught_up: bool,
-    /// Claims that the next append carries.
+    /// Claims that go into the next append.
     queued: Vec<Pending>,
-    /// Claims that an append carried and that weren't read back yet.
+    /// Claims that were passed to an append and have not been read back yet.
     in_flight: Vec<Pending>,
     releases: Vec<ClaimRecord>,
     keys: HashMap<u64, KeyHash>,
@@ -62,11 +63,11 @@
     commands: mpsc::Receiver<ClaimCommand>,
 }
 
-/// How an append ended.
+/// The outcome of an append.
 enum AppendOutcome {
-    /// It stands at this offset.
+    /// The batch was appended at this offset.
     At(Offset),
-    /// Nothing is known, as of this time.
+    /// It is not known whether the batch was appended; the append was abandoned at this time.
     Unknown(Instant),
 }
 
@@ -74,7 +75,7 @@
 where
     L: LogService + Clone + 'static,
 {
-    /// Makes the task; it does nothing until it runs.
+    /// Creates the task; it does nothing until [`run`](Self::run) is called.
     #[must_use]
     pub fn new(
         log: L,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Gives the traffic threads' side.
+    /// Returns a handle for the traffic threads.
     #[must_use]
     pub fn claim_client(&self) -> ClaimClient {
         ClaimClient {
@@ -114,13 +115,14 @@
         }
     }
 
-    /// Runs for ever.
+    /// Processes commands, results and log records; never returns.
     pub async fn run(mut self) {
         let (records_tx, mut records) = mpsc::channel(2);
         tokio::spawn(tail(self.log.clone(), records_tx));
         let (appended_tx, mut appended) = mpsc::channel(1);
         let mut appending = false;
-        // What the claims in flight wait for: an offset, or a read to the end after a lost append.
+        // What the claims in flight wait for: an offset to be read, or, after an append with unknown
+        // outcome, a read to the end of the stream.
         let mut awaited: Option<AppendOutcome> = None;
         let mut next_append = Instant::now();
         loop {
@@ -196,7 +198,8 @@
         Decision::PeerDuplicate(who)
     }
 
-    /// Gives what became of a claim of this gateway. One that nobody was given is released.
+    /// Returns the state of one of this gateway's claims; a number that is not known gives
+    /// [`Fate::Unknown`].
     fn fate(&self, number: u64) -> Fate {
         match self.fates.get(&number) {
             Some(f) => f.clone(),
@@ -222,16 +225,16 @@
         }
     }
 
-    /// Gives back claims of this gateway that took effect after they had been given up: a slow append
-    /// can land behind its own release.
+    /// Releases again the claims of this gateway that took effect after they were released: a slow
+    /// append can land in the log behind the release of its own claim.
     fn release_again(&mut self, batch: &[ClaimRecord]) {
         for r in batch {
             let ClaimRecord::Claim(key, who) = r else {
                 continue;
             };
-            let given_up = matches!(self.fates.get(&who.number), Some(Fate::Released));
-            let stands = self.claims.state(*key) == ClaimState::Held(who.clone());
-            if given_up && stands && *who == self.claimant(who.number) {
+            let released = matches!(self.fates.get(&who.number), Some(Fate::Released));
+            let in_force = self.claims.state(*key) == ClaimState::Held(who.clone());
+            if released && in_force && *who == self.claimant(who.number) {
                 self.releases.push(ClaimRecord::Release(*key, who.clone()));
             }
         }
@@ -259,9 +262,9 @@
         }
     }
 
-    /// Takes the fresh claims and releases into one batch.
+    /// Moves the queued claims and releases into one batch and returns it encoded.
     fn batch(&mut self) -> Option<String> {
-        // A claim whose caller has given up needn't be made.
+        // A claim whose caller no longer waits need not be appended.
         self.queued.retain(|p| !p.reply.is_closed());
         let mut records = self.releases.split_off(0);
         records.extend(
@@ -279,8 +282,8 @@
         awaited: &mut Option<AppendOutcome>,
     ) {
         let Some((began, records)) = batch else {
-            // The log is out of reach: whoever awaited is refused at once, and what was appended for
-            // them is given back when it can be.
+            // The log is unreachable: pending claims are refused at once, and those already appended
+            // are released once the log can be written again.
             self.give_up();
             return;
         };
@@ -299,7 +302,8 @@
         self.decide_if_known(awaited, at_end.then_some(began));
     }
 
-    /// Decides the claims in flight once their append was read back, or surely never will be.
+    /// Decides the claims in flight once their append was read back, or a read to the end of the stream
+    /// that began after the failed append shows what took effect.
     fn decide_if_known(&mut self, awaited: &mut Option<AppendOutcome>, at_end: Option<Instant>) {
         let decided = match awaited {
             None => false,
@@ -321,7 +325,8 @@
             ClaimState::Held(who) if who == mine => {
                 self.keys.insert(p.number, p.key);
                 if p.reply.send(Decision::Acquired(p.number)).is_err() {
-                    // The caller has been told that nothing ran, so nothing may run any more.
+                    // The caller has already received the answer that nothing ran, so the request must
+                    // not run any more.
                     self.keys.remove(&p.number);
                     self.release(p.key, p.number);
                 }
@@ -341,18 +346,20 @@
         }
         for p in std::mem::take(&mut self.in_flight) {
             let _gone = p.reply.send(Decision::Undecided);
-            // The append may have taken effect, or still may: the key has to be given back.
+            // The append may have taken effect or may still do so: the key has to be released.
             self.release(p.key, p.number);
         }
     }
 }
 
-/// How an append ended, and what was read anew if its fate isn't known. The two come together: the
-/// read tells nothing to a task that doesn't know yet that the append was lost.
+/// The outcome of an append and, if it is unknown, the result of a new read of the stream.
+///
+/// Both are sent in one message: the read is of no use to the task before the task knows that the
+/// outcome of the append is unknown.
 type AppendReport = (AppendOutcome, Option<Option<(Instant, Records)>>);
 
-/// Appends a batch. If its fate isn't known, reads on at once: the long read that is under way began
-/// before and tells nothing.
+/// Appends a batch. If the outcome is unknown, reads the stream again at once: the long poll in
+/// progress began before the failure, so it proves nothing about the append.
 async fn append<L>(log: L, text: String, from: u64, tx: mpsc::Sender<AppendReport>)
 where
     L: LogService,
@@ -375,13 +382,14 @@
     let _ended = tx.send(done).await;
 }
 
-/// Reads the claims stream for ever; a failed read is passed on as nothing.
+/// Reads the claims stream until the receiver is closed; sends `None` for a failed read.
 async fn tail<L>(log: L, tx: mpsc::Sender<Option<(Instant, Records)>>)
 where
     L: LogService,
 {
     let mut from = 0;
-    // Until the end was reached once there is nothing to wait for, and callers wait for this.
+    // No long poll until the end has been reached once: there are records to read, and callers wait
+    // for them.
     let mut wait = Duration::ZERO;
     loop {
         let began = Instant::now();
