--- a/crates/limehollow-gateway/src/control.rs
+++ b/crates/limehollow-gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The thread of the control state: it follows the log and publishes the routing table.
+//! The control state, owned by one thread: it follows the log and publishes the routing table.
 
 use crate::metrics::Metrics;
 use crate::shared_admission::SharedAdmission;
@@ -23,19 +23,19 @@
 /// One event for the control thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A part of the log, or nothing if it could not be read.
+    /// A batch of log entries, or `None` if the log could not be read.
     Log(Option<Batch>),
     /// The platform's membership list.
     List(Vec<Listed>),
-    /// News from the controller of this VM.
+    /// An update from the controller on this VM.
     News(News),
-    /// A controller's state.
+    /// A snapshot of a controller's state and the offset that follows it.
     State(Offset, Box<Fleet>),
-    /// An operator wants a dump.
+    /// An operator's request for a dump.
     Dump(DumpRequest),
-    /// The process is about to stop: it is not ready any more.
+    /// The process is about to stop and reports that it is not ready.
     Stopping,
-    /// The process stops.
+    /// The control thread ends.
     Stop,
 }
 
@@ -53,7 +53,7 @@
     ready: watch::Sender<Readiness>,
     listed_leaving: BTreeSet<VmName>,
     peers_leaving: BTreeSet<VmName>,
-    /// The highest next offset that the controller is known to have.
+    /// The highest next offset that the controller has reported.
     controller_offset: Offset,
     caught_up: bool,
     log_failing: bool,
@@ -61,7 +61,7 @@
 }
 
 impl Control {
-    /// Makes the state of a gateway that starts now.
+    /// Creates the control state of a gateway that has just started.
     #[must_use]
     pub fn new(
         (name, zone, incarnation): (VmName, ZoneName, Incarnation),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Runs until told to stop.
+    /// Processes events until [`Event::Stop`] arrives or the channel is closed.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -137,13 +137,13 @@
     fn on_log(&mut self, batch: Option<Batch>) {
         let Some(batch) = batch else {
             if !self.log_failing {
-                tracing::warn!("the log can't be read; what is in force stays in force");
+                tracing::warn!("reading the log failed; the configuration in force stays in force");
             }
             self.log_failing = true;
             return;
         };
         if self.log_failing {
-            tracing::info!("the log can be read again");
+            tracing::info!("reading the log succeeds again");
             self.log_failing = false;
         }
         let mut changed = false;
