--- a/crates/limehollow-gateway/src/shared_admission.rs
+++ b/crates/limehollow-gateway/src/shared_admission.rs
@@ -1,4 +1,5 @@
-//! Admission for many threads: one lock around the decisions, and the tasks that wait for them.
+//! Admission shared by several threads: a lock around [`Admission`], and the queue of tasks that wait
+//! for a slot.
 
 use arc_swap::ArcSwap;
 use limehollow::admission::{
@@ -13,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-/// How often waiting requests are looked through for ones that can't make it any more.
+/// How often the queue is checked for requests that can't meet their deadline any more.
 const POLL_EVERY: Duration = Duration::from_millis(20);
 
 type SlotResult = Result<Slot, Refusal>;
@@ -24,14 +25,14 @@
     waiters: HashMap<Ticket, oneshot::Sender<SlotResult>>,
 }
 
-/// Admission for many threads.
+/// Admission shared by several threads.
 #[derive(Debug)]
 pub struct SharedAdmission {
     inner: Mutex<Inner>,
     table: Arc<ArcSwap<Table>>,
 }
 
-/// The right to have one request at an endpoint; it is given back when it is dropped.
+/// The right to run one request at an endpoint; it is released on drop.
 #[derive(Debug)]
 pub struct Slot {
     admission: Arc<SharedAdmission>,
@@ -41,7 +42,7 @@
 }
 
 impl Slot {
-    /// Says how the request ended, and gives the right back.
+    /// Records the outcome of the request and releases the slot.
     pub fn finish(mut self, outcome: AttemptOutcome) {
         self.outcome = Some(outcome);
     }
@@ -49,7 +50,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        // Whoever drops it without a word did so because the caller left.
+        // A slot is dropped without an outcome if the caller disconnected.
         let outcome = self.outcome.unwrap_or(AttemptOutcome::Cancelled);
         self.admission
             .lock()
@@ -59,7 +60,7 @@
     }
 }
 
-/// A place in the queue; it is given up when it is dropped.
+/// A request in the queue; it is cancelled on drop.
 struct QueuedRequest {
     admission: Arc<SharedAdmission>,
     ticket: Ticket,
@@ -74,14 +75,14 @@
     }
 }
 
-/// The first answer to an request.
+/// The immediate outcome of an admission request: decided, or queued with a receiver for the decision.
 enum AdmitOutcome {
     Decided(SlotResult),
     Queued(QueuedRequest, oneshot::Receiver<SlotResult>),
 }
 
 impl SharedAdmission {
-    /// Makes the admission of a gateway in this zone.
+    /// Creates the admission of a gateway in this availability zone.
     #[must_use]
     pub fn new(zone: ZoneName, table: Arc<ArcSwap<Table>>) -> Arc<Self> {
         let inner = Inner {
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Reads or changes admission under its lock.
+    /// Calls a function with the admission state while holding the lock.
     pub fn with<F, T>(&self, f: F) -> T
     where
         F: FnOnce(&mut Admission) -> T,
@@ -102,11 +103,11 @@
         f(&mut self.lock().admission)
     }
 
-    /// WaitLimits until a request may go to an endpoint, or is refused.
+    /// Waits until a request gets a slot at an endpoint or is refused.
     ///
     /// # Errors
     ///
-    /// The refusal, as soon as it is known.
+    /// Returns the refusal as soon as it is decided.
     pub async fn admit(self: &Arc<Self>, request: AdmissionRequest) -> SlotResult {
         match self.try_admit(request) {
             AdmitOutcome::Decided(granted) => granted,
@@ -156,13 +157,13 @@
         };
         drop(inner);
         if let Some((tx, refusal)) = shed {
-            // A caller that left needs no refusal.
+            // The send fails if the caller has disconnected; it then needs no refusal.
             let _left = tx.send(Err(refusal));
         }
         first
     }
 
-    /// Gives the requests whose turn it is their slots, and refuses those that are too late.
+    /// Grants slots to queued requests that can start, and refuses those that are too late.
     pub fn poll_queue(self: &Arc<Self>) {
         let table = self.table.load();
         let mut inner = self.lock();
@@ -179,14 +180,14 @@
             };
             granted.push((waiter, grant));
         }
-        // A slot that nobody takes any more is dropped, which needs the lock.
+        // A slot whose receiver is gone is dropped below, and its drop acquires the lock.
         drop(inner);
         for (waiter, grant) in granted {
             let _left = waiter.map(|tx| tx.send(grant));
         }
     }
 
-    /// Looks through the waiting requests for ever.
+    /// Polls the queue periodically; never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
             sleep(POLL_EVERY).await;
