--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The course of a request: admitted, sent, sent again where that is right, and answered once.
+//! The processing of a request: it is admitted, sent, retried where that is safe, and answered once.
 
 use crate::answer::{ErrorAnswer, REPLAYED, VERDICT};
 use crate::attempt::{read_full_answer, send_request};
@@ -20,22 +20,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// After how long a caller should request again for the result of a request that is under way.
+/// When a caller should ask again for the result of a request that is still running.
 const RESULT_PAUSE: Duration = Duration::from_secs(1);
 
-/// A request on its way, with what was tried so far.
+/// A request in progress and its attempts so far.
 #[derive(Debug)]
 pub struct ActiveRequest {
     /// The request.
     pub request: ParsedRequest,
-    /// What admission is asked.
+    /// The request to admission.
     pub admission_request: AdmissionRequest,
-    /// The attempts.
+    /// The attempts so far.
     pub attempts: Attempts,
 }
 
 impl ActiveRequest {
-    /// Starts the course of a request.
+    /// Creates the state of a request before its first attempt.
     #[must_use]
     pub fn new(request: ParsedRequest, route: &Route) -> Self {
         let priority = request.meta.priority.unwrap_or(route.priority);
@@ -56,11 +56,11 @@
         }
     }
 
-    /// WaitLimits for a slot at an endpoint.
+    /// Waits for a slot at an endpoint.
     ///
     /// # Errors
     ///
-    /// The answer to give instead, with the verdict of all attempts.
+    /// Returns the error answer for the caller, with the verdict of all attempts.
     pub async fn admit(&self, shared: &Shared) -> Result<(Slot, Target), ErrorAnswer> {
         let verdict = self.attempts.verdict;
         let slot = shared.admission.admit(self.admission_request.clone()).await;
@@ -73,7 +73,8 @@
         let table = shared.table.load();
         let target = route(&table, &self.request.subject)
             .and_then(|r| r.targets.iter().find(|t| t.key == slot.key).cloned());
-        // The table may have changed since; an endpoint that is out of it gets no new work.
+        // The routing table may have changed in the meantime; an endpoint that is no longer in it gets
+        // no new requests.
         let gone = Refusal {
             reason: Reason::NoTarget,
             retry_after: Duration::from_secs(1),
@@ -82,7 +83,7 @@
         Ok((slot, target))
     }
 
-    /// Counts the request as ended.
+    /// Counts the request in the metrics with its outcome.
     pub fn record_outcome(&self, shared: &Shared, outcome: &'static str) {
         shared
             .metrics
@@ -94,7 +95,7 @@
     }
 }
 
-/// Gives the route of a subject.
+/// Returns the route for a subject.
 #[must_use]
 pub fn route<'t>(table: &'t limehollow::routing::Table, subject: &Subject) -> Option<&'t Route> {
     match subject {
@@ -103,7 +104,7 @@
     }
 }
 
-/// Gives the answer when no further attempt is made.
+/// Returns the error answer after a failure that is not retried.
 #[must_use]
 pub fn failure_answer(failure: Failure, verdict: Verdict) -> ErrorAnswer {
     let (status, code, message) = match failure {
@@ -126,7 +127,7 @@
     ErrorAnswer::retryable(status, code, message, verdict, Duration::from_secs(1))
 }
 
-/// A whole answer of an endpoint.
+/// A complete answer of an endpoint.
 #[derive(Clone, Debug)]
 pub struct FullAnswer {
     /// The status code.
@@ -145,7 +146,7 @@
     }
 }
 
-/// Runs a request and gives its one answer.
+/// Runs a request and returns its answer.
 pub async fn run(shared: &Arc<Shared>, request: ParsedRequest) -> Response {
     let table = shared.table.load_full();
     let Some(route) = route(&table, &request.subject) else {
@@ -222,7 +223,7 @@
     }
 }
 
-/// Sends a request until it is answered or given up.
+/// Sends a request, with retries, until it is answered or no retry is allowed.
 async fn answer(shared: &Arc<Shared>, mut active: ActiveRequest, claim: Option<Claim>) -> Response {
     shared.budget().deposit();
     loop {
@@ -303,7 +304,8 @@
     }
 }
 
-/// Tells whether a status is an engine's failure. A plain service's status is its own answer.
+/// Returns `true` if a status is a failure of a model engine. The status of a plain service is always
+/// passed to the caller as its answer.
 fn is_engine_failure(request: &ParsedRequest, status: StatusCode) -> bool {
     matches!(request.subject, Subject::Model(_)) && status.is_server_error()
 }
@@ -358,7 +360,7 @@
     active.record_outcome(shared, outcome);
     debug_assert!(
         error.response().headers().contains_key(VERDICT),
-        "every own answer has a verdict"
+        "every error answer has a verdict"
     );
     error.response()
 }
