--- a/crates/limehollow-gateway/src/limit.rs
+++ b/crates/limehollow-gateway/src/limit.rs
@@ -1,4 +1,4 @@
-//! Counts the connections of callers and bounds them.
+//! Counts the connections of callers and limits their number.
 
 use poem::http::uri::Scheme;
 use poem::listener::Acceptor;
@@ -14,7 +14,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::sleep;
 
-/// How many connections above the limit are opened to be told so; further ones wait unopened.
+/// How many connections above the limit are accepted in order to be rejected with an answer; further
+/// ones are not accepted until a connection closes.
 const MAX_REJECTED_CONNECTIONS: usize = 64;
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -26,16 +27,16 @@
 }
 
 impl Connections {
-    /// Gives how many there are.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Breaks a caller's connection off: not a byte more is written.
+    /// Aborts a caller's connection: no further bytes are written.
     ///
-    /// The HTTP library ends a chunked body properly even if it fails, and then a cut answer would
-    /// look whole.
+    /// The HTTP library terminates a chunked body properly even if the body fails, so that a
+    /// truncated answer would look complete.
     pub fn abort(&self, caller: SocketAddr) {
         if let Some(flag) = self.lock().get(&caller) {
             flag.store(true, Ordering::Relaxed);
@@ -63,7 +64,7 @@
     }
 }
 
-/// An acceptor that counts.
+/// An acceptor that counts connections and pauses accepting above a limit.
 #[derive(Debug)]
 pub struct LimitedAcceptor<A> {
     inner: A,
@@ -72,7 +73,7 @@
 }
 
 impl<A> LimitedAcceptor<A> {
-    /// Bounds an acceptor.
+    /// Wraps an acceptor with a connection limit.
     #[must_use]
     pub fn new(inner: A, connections: Arc<Connections>, limit: usize) -> Self {
         Self {
@@ -115,7 +116,7 @@
     }
 }
 
-/// A connection that counts itself out when it closes, and that can be cut.
+/// A connection that is removed from the count on drop, and that can be aborted.
 #[derive(Debug)]
 pub struct CountedConnection<T> {
     io: T,
