--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's process.
+//! The `limehollow-gateway` program: starts the traffic threads and runs the control thread.
 
 use arc_swap::ArcSwap;
 use limehollow::id::{Offset, VmName, ZoneName};
@@ -113,8 +113,8 @@
     control.block_on(served).unwrap_or(Ok(()))
 }
 
-/// Serves callers and operators until a signal, then ends in the right order: first the process
-/// says that it is not ready, then it takes no new connections, then it ends what it has.
+/// Serves callers and operators until a stop signal. Then shuts down in order: the process reports
+/// that it is not ready, stops accepting connections, and completes the requests in progress.
 async fn serve(
     shared: Arc<Shared>,
     ready: watch::Receiver<Readiness>,
@@ -199,8 +199,8 @@
     }
 }
 
-/// Asks the controller of this VM for its state once, since the log may be out of reach, and for
-/// news all the time.
+/// Fetches the state of the controller on this VM once, since the log may be unreachable, and then
+/// polls the controller for updates. Each poll reports the unmet demand since the last one.
 async fn follow_controller(shared: Arc<Shared>, events: mpsc::Sender<Event>) {
     let mut client = PeerClient::new(&shared.settings.controller_address);
     let mut has_state = false;
@@ -244,7 +244,7 @@
         }
     };
     if let Err(e) = peer::serve(&address, answer).await {
-        tracing::error!(error = %e, "other gateways can't reach this one");
+        tracing::error!(error = %e, "serving other gateways on the peer address failed");
     }
 }
 
