--- a/crates/limehollow-gateway/src/metrics.rs
+++ b/crates/limehollow-gateway/src/metrics.rs
@@ -8,7 +8,8 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Names a kind of request and how it ended. All values come from short fixed lists.
+/// The labels of a finished request. All values come from short fixed lists, which bounds the number
+/// of time series.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// `completion` or `service`.
@@ -22,23 +23,23 @@
 /// The metrics of a gateway.
 #[derive(Clone, Debug)]
 pub struct Metrics {
-    /// Requests that ended.
+    /// Finished requests.
     pub requests: Family<RequestLabels, Counter>,
     /// Attempts at endpoints.
     pub attempts: Counter,
-    /// Attempts after the first of a request.
+    /// Attempts of a request after its first.
     pub retries: Counter,
-    /// Streams that went on at another endpoint.
+    /// Streams that were resumed at another endpoint.
     pub resumed: Counter,
-    /// Requests that wait.
+    /// Requests in the admission queue.
     pub waiting: Gauge,
     /// Open connections of callers.
     pub connections: Gauge,
-    /// The offset of the next record.
+    /// The log offset of the next record to apply.
     pub next_offset: Gauge,
-    /// Keys that are held.
+    /// Idempotency keys that are claimed.
     pub claims: Gauge,
-    /// Appends of claims.
+    /// Appends of claim batches to the log.
     pub claim_appends: Counter,
     /// Time to the first byte of an answer, in seconds.
     pub first_byte: Histogram,
@@ -62,7 +63,7 @@
 }
 
 impl Metrics {
-    /// Counts a request that ended.
+    /// Counts a finished request.
     pub fn record_request(&self, kind: &'static str, priority: Priority, outcome: &'static str) {
         let labels = RequestLabels {
             kind,
@@ -72,7 +73,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Makes the registry that shows them.
+    /// Returns a registry that exports the metrics.
     #[must_use]
     pub fn registry(&self) -> Registry {
         let mut r = Registry::with_prefix("limehollow_gateway");
