--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -1,8 +1,8 @@
-//! Streams an answer to the caller, event by event, and goes on elsewhere when an endpoint breaks.
+//! Streams an answer to the caller event by event, and resumes it at another endpoint on failure.
 //!
-//! Only whole events are passed on, so a break in the middle of one leaves nothing half-said. At
-//! most one event and one network buffer are held: the next is read when the caller took the last
-//! (`docs/design/streams.md`).
+//! Only complete events are forwarded, so a failure in the middle of an event leaves no partial event
+//! with the caller. At most one event and one network buffer are held: the next event is read after
+//! the caller has received the last one (`docs/design/streams.md`).
 
 use crate::answer::ErrorAnswer;
 use crate::attempt::{AnswerHead, send_request};
@@ -21,11 +21,11 @@
 
 /// The largest event, in bytes.
 const MAX_EVENT: usize = 1 << 20;
-/// How long the last event of a cut stream has to leave before the connection is broken off.
+/// How long the last event of a truncated stream has to be sent before the connection is aborted.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 const DONE: &[u8] = b"data: [DONE]";
 
-/// A stream under way.
+/// A stream in progress.
 #[derive(Debug)]
 pub struct Relay {
     shared: Arc<Shared>,
@@ -34,25 +34,25 @@
     body: reqwest::Response,
     buf: BytesMut,
     version: SmolStr,
-    /// Tokens that the caller was given.
+    /// Number of tokens delivered to the caller.
     delivered: u32,
     first: Option<Instant>,
     sent_at: Instant,
     outcome_recorded: bool,
 }
 
-/// What follows in the caller's stream.
+/// The next item of the caller's stream.
 enum StreamItem {
     /// An event.
     Event(Bytes),
-    /// The last event of a whole answer.
+    /// The last event of a complete answer.
     Last(Bytes),
-    /// The stream is cut; this says so, and no `[DONE]` follows.
+    /// The error event that ends a truncated stream; no `[DONE]` follows.
     Cut(Bytes),
 }
 
 impl Relay {
-    /// Starts to relay an answer whose head has come.
+    /// Creates the relay of an answer whose status and headers have arrived.
     #[must_use]
     pub fn new(
         shared: Arc<Shared>,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Gives the caller's stream. It ends with an error, not cleanly, if the answer isn't whole.
+    /// Returns the caller's stream. It ends with an error if the answer is incomplete.
     pub fn into_stream(self) -> impl Stream<Item = std::io::Result<Bytes>> + Send + 'static {
         futures_util::stream::unfold(State::Open(Box::new(self)), |state| async move {
             match state {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Reads the next whole event.
+    /// Reads the next complete event.
     async fn read_event(&mut self) -> Result<Bytes, Failure> {
         loop {
             if let Some(end) = find_end(&self.buf) {
@@ -123,14 +123,14 @@
             let deadline = self.active.request.meta.deadline;
             match timeout_at(deadline, self.body.chunk()).await {
                 Err(_) => return Err(Failure::Deadline),
-                // The end without `[DONE]` isn't the end of an answer.
+                // A body that ends without `[DONE]` is truncated.
                 Ok(Err(_) | Ok(None)) => return Err(Failure::Broken),
                 Ok(Ok(Some(chunk))) => self.buf.extend_from_slice(chunk.chunk()),
             }
         }
     }
 
-    /// Goes on at another endpoint from the last event that was delivered.
+    /// Resumes the stream at another endpoint after the last event that was delivered.
     async fn resume(&mut self, failure: Failure) -> Result<(), ErrorAnswer> {
         let mut failure = failure;
         loop {
@@ -151,7 +151,7 @@
             }
             let (slot, target) = self.active.admit(&self.shared).await?;
             if target.version != self.version {
-                // Another version's words don't continue this one's.
+                // The tokens of another model version don't continue this version's output.
                 slot.finish(AttemptOutcome::Cancelled);
                 return Err(failure_answer(failure, self.active.attempts.verdict));
             }
@@ -194,7 +194,7 @@
         StreamItem::Last(event)
     }
 
-    /// Breaks the caller's connection off, once what was written last is on its way.
+    /// Aborts the caller's connection after [`FLUSH_TIME`], in which the last event is sent.
     async fn abort_connection(&self) {
         sleep(FLUSH_TIME).await;
         if let Some(remote) = self.active.request.meta.remote {
@@ -217,14 +217,14 @@
     }
 }
 
-/// Where the caller's stream stands.
+/// The state of the caller's stream.
 enum State {
     Open(Box<Relay>),
     Cut(Box<Relay>),
     Closed,
 }
 
-/// Finds the end of the first event: the byte after its empty line.
+/// Returns the end of the first event: the index after the empty line that terminates it.
 fn find_end(buf: &[u8]) -> Option<usize> {
     let lf = buf.windows(2).position(|w| w == b"\n\n").map(|i| i + 2);
     let crlf = buf.windows(4).position(|w| w == b"\r\n\r\n").map(|i| i + 4);
