--- a/crates/limehollow-gateway/src/request.rs
+++ b/crates/limehollow-gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request.
+//! Parses a caller's request: its headers, and the body of a completion request.
 
 use bytes::Bytes;
 use limehollow::admission::Subject;
@@ -13,26 +13,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Milliseconds that the caller still wait_limits, counted from the request's arrival.
+/// Request header: how long the caller waits, in milliseconds from the request's arrival.
 pub const DEADLINE: &str = "x-limehollow-deadline-ms";
-/// `high`, `normal` or `low`.
+/// Request header: `high`, `normal` or `low`.
 pub const PRIORITY: &str = "x-limehollow-priority";
-/// `never` if the request may run at most once.
+/// Request header: `never` if the request may run at most once.
 pub const REPEAT: &str = "x-limehollow-repeat";
-/// The request's identity.
+/// Header of requests and responses: the request ID.
 pub const REQUEST_ID: &str = "x-request-id";
-/// The caller's key for a request that it may send again.
+/// Request header: the caller's idempotency key for a request that it may send again.
 pub const KEY: &str = "idempotency-key";
 
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 const MAX_VALUE: usize = 255;
 const DEFAULT_TOKENS: u32 = 16;
 const MAX_TOKENS: u32 = 1_000_000;
-/// How much of a prompt counts as its beginning, in bytes: requests that share it go to the same
-/// endpoint if they can, since it has the beginning in its cache.
+/// The length of the prompt prefix that is hashed for affinity, in bytes. Requests with the same prefix
+/// go to the same endpoint if possible, since it has the prefix in its cache.
 const PREFIX: usize = 256;
 
-/// Headers that belong to one connection and aren't passed on.
+/// Hop-by-hop headers, which apply to one connection and are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -45,73 +45,74 @@
     "upgrade",
 ];
 
-/// What is wrong with a caller's request.
+/// The reason why a caller's request can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ParseRequestError {
-    /// A header has a value that it can't have.
+    /// A header has an invalid value.
     #[snafu(display("header {name}: {why}"))]
     Header {
-        /// The header.
+        /// The name of the header.
         name: &'static str,
-        /// What would be valid.
+        /// A description of the valid values.
         why: SmolStr,
     },
-    /// The body isn't what it has to be.
+    /// The body is invalid.
     #[snafu(display("body: {why}"))]
     Body {
-        /// What is wrong, with line and column where there are any.
+        /// A description of the error, with line and column if they are known.
         why: String,
     },
 }
 
-/// What a request's headers say, whatever it is for.
+/// The metadata from a request's headers, common to completions and services.
 #[derive(Clone, Debug)]
 pub struct RequestMeta {
-    /// Its identity.
+    /// The request ID.
     pub id: SmolStr,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// How much it matters, if it says so.
+    /// The priority, if a header states it.
     pub priority: Option<Priority>,
-    /// Whether the caller forbids a repetition.
+    /// Whether the caller forbids running the request more than once.
     pub never_repeat: bool,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<SmolStr>,
-    /// Who sent it.
+    /// An identifier of the caller: a hash of its credentials, or its IP address.
     pub caller: SmolStr,
-    /// The caller's end of the connection.
+    /// The caller's address on the connection.
     pub remote: Option<SocketAddr>,
 }
 
-/// A request that was read.
+/// A parsed request.
 #[derive(Clone, Debug)]
 pub struct ParsedRequest {
-    /// What its headers say.
+    /// The metadata from the headers.
     pub meta: RequestMeta,
-    /// What it is for.
+    /// The model or service that is requested.
     pub subject: Subject,
     /// The method.
     pub method: Method,
-    /// The path and query at the endpoint.
+    /// The path and query to send to the endpoint.
     pub path: SmolStr,
-    /// The headers to pass on.
+    /// The headers to forward to the endpoint.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
     /// Whether the answer is to be streamed.
     pub stream: bool,
-    /// The most tokens of the answer.
+    /// The maximum number of tokens in the answer.
     pub tokens: u32,
-    /// The hash of what a cache could share.
+    /// A hash of the content that an endpoint's cache could share with other requests.
     pub affinity: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
 }
 
 impl ParsedRequest {
-    /// Gives the hash of the caller's key with what it belongs to, if there is a key.
+    /// Returns the hash of the idempotency key together with the caller, subject, method and path that it
+    /// belongs to, or `None` if there is no key.
     #[must_use]
     pub fn key_hash(&self) -> Option<KeyHash> {
         let key = self.meta.key.as_ref()?;
@@ -130,7 +131,7 @@
         ]))
     }
 
-    /// Gives the word that metrics use.
+    /// Returns the value of the `kind` label in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self.subject {
@@ -140,30 +141,30 @@
     }
 }
 
-/// Gives a request's identity: the caller's, or a new one.
+/// Returns the request ID from the headers, or a new random one.
 ///
 /// # Errors
 ///
-/// [`ParseRequestError::Header`] if the caller's can't be used.
+/// Returns [`ParseRequestError::Header`] if the caller's request ID is invalid.
 pub fn request_id(headers: &HeaderMap) -> Result<SmolStr, ParseRequestError> {
     let given = header_text(headers, REQUEST_ID)?;
     Ok(given.unwrap_or_else(|| format_smolstr!("{:032x}", rand::random::<u128>())))
 }
 
-/// How long callers wait.
+/// The limits on how long callers wait.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitLimits {
-    /// What a request that names no deadline gets.
+    /// The wait of a request that has no deadline header.
     pub default: Duration,
-    /// The longest: after it the silent connection would be closed, and with it the answer lost.
+    /// The longest wait. After it, the idle connection would be closed and the answer lost.
     pub longest: Duration,
 }
 
-/// Reads what the headers say.
+/// Parses the metadata in the headers.
 ///
 /// # Errors
 ///
-/// [`ParseRequestError::Header`] names the header and what would be valid.
+/// Returns [`ParseRequestError::Header`] with the name of the invalid header and its valid values.
 pub fn parse_meta(
     headers: &HeaderMap,
     remote: Option<SocketAddr>,
@@ -194,7 +195,7 @@
         Some(s) => return header_error(REPEAT, format_smolstr!("must be never, not {s:?}")),
     };
     let key = header_text(headers, KEY)?;
-    // Callers are told apart by what they authenticate with; the hash keeps secrets out of dumps.
+    // Callers are distinguished by their credentials; the hash keeps secrets out of dumps.
     let caller = match headers.get("authorization") {
         Some(v) => format_smolstr!("auth-{:016x}", hash(v.as_bytes())),
         None => remote.map(|r| r.ip().to_smolstr()).unwrap_or_default(),
@@ -211,11 +212,11 @@
     })
 }
 
-/// Reads a completion request's body.
+/// Parses the body of a completion request.
 ///
 /// # Errors
 ///
-/// [`ParseRequestError::Body`] says what is wrong and where.
+/// Returns [`ParseRequestError::Body`] with a description and the position of the error.
 pub fn parse_completion(
     meta: RequestMeta,
     path: &str,
@@ -280,10 +281,10 @@
     })
 }
 
-/// Reads a request for a plain service.
+/// Creates a request for a plain service.
 ///
-/// A method that isn't idempotent by its definition counts as not to be repeated, also if the caller
-/// doesn't say so.
+/// A request whose method is not idempotent by definition is never repeated, even if the caller does
+/// not forbid it.
 #[must_use]
 pub fn parse_service(
     meta: RequestMeta,
@@ -313,7 +314,8 @@
     }
 }
 
-/// Gives the headers that are passed on: all but those of one connection.
+/// Returns the headers to forward: all but hop-by-hop headers, `host`, `content-length` and
+/// limehollow's own headers.
 #[must_use]
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
@@ -375,7 +377,7 @@
     xxhash_rust::xxh3::xxh3_64(bytes)
 }
 
-/// Makes a header value of text that is known to be valid.
+/// Returns a header value for text that is known to be valid.
 #[must_use]
 pub fn header_value(s: &str) -> HeaderValue {
     HeaderValue::from_str(s).unwrap_or_else(|_| HeaderValue::from_static("invalid"))
