--- a/crates/limehollow-gateway/src/settings.rs
+++ b/crates/limehollow-gateway/src/settings.rs
@@ -9,29 +9,29 @@
 pub struct GatewaySettings {
     /// The name of this entry VM.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of this VM.
     pub availability_zone: String,
-    /// Where callers reach it, as `IP:PORT`.
+    /// The address for callers, as `IP:PORT`.
     pub address: String,
-    /// Where operators reach it, as `IP:PORT`.
+    /// The address for operators, as `IP:PORT`.
     pub admin_address: String,
-    /// Where other gateways reach it, as `IP:PORT`.
+    /// The address for other gateways, as `IP:PORT`.
     pub peer_address: String,
-    /// The controller of the same VM, as `IP:PORT`.
+    /// The address of the controller on the same VM, as `IP:PORT`.
     pub controller_address: String,
-    /// The platform's services, as `IP:PORT`.
+    /// The address of the platform's services, as `IP:PORT`.
     pub platform_address: String,
     /// Limits on callers.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// How long keys are remembered.
+    /// The retention of idempotency keys and their results.
     #[serde(default)]
     pub claims: ClaimSettings,
-    /// Threads for traffic.
+    /// The number of traffic threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// How long the gateway stays open after it said that it is not ready, in milliseconds, so that
-    /// the balancer can turn away first.
+    /// How long the gateway keeps accepting connections after it reports that it is not ready, in
+    /// milliseconds, so that the load balancer stops sending to it first.
     #[serde(default = "default_stop_grace_ms")]
     pub stop_grace_ms: u64,
 }
@@ -50,15 +50,15 @@
 pub struct LimitSettings {
     /// The largest body, in bytes.
     pub body_bytes: usize,
-    /// The most bytes of all header names and values together.
+    /// The maximum total size of all header names and values, in bytes.
     pub header_bytes: usize,
     /// How long a caller may take to send its body, in milliseconds.
     pub body_ms: u64,
-    /// The most connections at once.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// How long a connection may be silent, in milliseconds.
+    /// How long a connection may be idle, in milliseconds.
     pub idle_ms: u64,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The deadline of a request that has no deadline header, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
@@ -75,17 +75,17 @@
     }
 }
 
-/// How keys of requests that run at most once are kept.
+/// The retention of idempotency keys and of the results of requests that run at most once.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimSettings {
-    /// How long a key is remembered, in milliseconds of the log's time.
+    /// How long a key is retained, in milliseconds of the log's time.
     pub memory_ms: u64,
     /// The shortest time between two appends of claims, in milliseconds.
     pub batch_ms: u64,
-    /// The most results that are remembered.
+    /// The maximum number of stored results.
     pub results: usize,
-    /// The largest body of a remembered result, in bytes.
+    /// The largest body of a stored result, in bytes.
     pub result_bytes: usize,
 }
 
