--- a/crates/limehollow-gateway/src/shared.rs
+++ b/crates/limehollow-gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads share.
+//! State shared by the traffic threads.
 
 use crate::claims::ClaimClient;
 use crate::limit::Connections;
@@ -18,37 +18,38 @@
 /// How long an idle connection to an endpoint is kept for the next request.
 const POOL_IDLE: Duration = Duration::from_secs(15);
 
-/// What the traffic threads share.
+/// State shared by the traffic threads.
 #[derive(Debug)]
 pub struct Shared {
     /// The settings.
     pub settings: GatewaySettings,
     /// The routing table, read without a lock.
     pub table: Arc<ArcSwap<Table>>,
-    /// Admission, and those who wait for it.
+    /// Admission, with its queue of waiting requests.
     pub admission: Arc<SharedAdmission>,
-    /// Claims on keys.
+    /// The handle for claims on idempotency keys.
     pub claim_client: ClaimClient,
     /// The metrics.
     pub metrics: Metrics,
     /// Open connections of callers.
     pub connections: Arc<Connections>,
-    /// What was refused since the controller was last told.
+    /// Refused requests since the last report to the controller.
     pub unmet_demand: UnmetDemand,
-    /// For requests that may be sent again.
+    /// The HTTP client for requests that may be repeated.
     pub client: reqwest::Client,
-    /// For requests that may not: each has a connection of its own, since on a used one a request
-    /// can meet the endpoint's closing and then nobody knows whether it ran.
+    /// The HTTP client for requests that must not be repeated. It opens a new connection for each
+    /// request: an endpoint may close a reused connection just as a request is sent on it, and then
+    /// it is not known whether the request ran.
     pub once_client: reqwest::Client,
     budget: Mutex<RetryBudget>,
 }
 
 impl Shared {
-    /// Makes the shared state.
+    /// Creates the shared state.
     ///
     /// # Errors
     ///
-    /// If the HTTP library can't start.
+    /// Returns an error if an HTTP client can't be created.
     pub fn new(
         settings: GatewaySettings,
         table: Arc<ArcSwap<Table>>,
@@ -70,7 +71,7 @@
         })
     }
 
-    /// Gives the retry budget.
+    /// Locks and returns the retry budget.
     pub fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -87,20 +88,21 @@
     builder.build().map_err(|e| classify("client", e))
 }
 
-/// The most models of which unmet_demand demand is told at once.
+/// The maximum number of models in one report of unmet demand.
 const MAX_REPORTED: usize = 8;
 
-/// Counts refused requests by model.
+/// Counts of refused requests by model.
 #[derive(Debug, Default)]
 pub struct UnmetDemand(Mutex<HashMap<SmolStr, u32>>);
 
 impl UnmetDemand {
-    /// Notes a request that could not be taken for want of a replica with room.
+    /// Records a request that was refused because no replica had a free slot.
     pub fn record(&self, model: &SmolStr) {
         *self.lock().entry(model.clone()).or_default() += 1;
     }
 
-    /// Gives what was refused over a time, the most first, and starts anew.
+    /// Returns the rates of refused requests over the time `over`, the highest first, and resets the
+    /// counts.
     pub fn drain(&self, over: Duration) -> Vec<WireUnmet> {
         let counts = std::mem::take(&mut *self.lock());
         let mut rows: Vec<(SmolStr, u32)> = counts.into_iter().collect();
