--- a/crates/limehollow-gateway/src/attempt.rs
+++ b/crates/limehollow-gateway/src/attempt.rs
@@ -41,7 +41,7 @@
 ) -> Result<AnswerHead, Failure> {
     let client = match request.repeat {
         Repeat::Allowed => &shared.client,
-        Repeat::Never => &shared.once_client,
+        Repeat::Never => &shared.unrepeatable_client,
     };
     let url = format!("http://{}{}", target.address, request.path);
     let mut req = client
--- a/crates/limehollow-gateway/src/caller.rs
+++ b/crates/limehollow-gateway/src/caller.rs
@@ -25,19 +25,19 @@
         .at("/v1/chat/completions", completions)
         .at("/services/:name", service)
         .at("/services/:name/*rest", service)
-        .at("/*any", nothing)
+        .at("/*any", not_found)
         .data(shared)
 }
 
 /// Checks the limits, runs `f` and adds the request ID to the response, also to an error.
-async fn identified<F, R>(shared: &Shared, req: &Request, f: F) -> Response
+async fn with_request_id<F, R>(shared: &Shared, req: &Request, f: F) -> Response
 where
     F: FnOnce(SmolStr) -> R,
     R: Future<Output = Result<Response, ErrorAnswer>>,
 {
     let id = match request::request_id(req.headers()) {
         Ok(id) => id,
-        Err(bad) => return bad_request(&bad).response(),
+        Err(e) => return bad_request(&e).response(),
     };
     let res = match check_limits(shared, req.headers()) {
         Ok(()) => f(id.clone()).await,
@@ -74,8 +74,12 @@
     Ok(())
 }
 
-fn bad_request(bad: &ParseRequestError) -> ErrorAnswer {
-    ErrorAnswer::permanent(StatusCode::BAD_REQUEST, "invalid_request", bad.to_string())
+fn bad_request(error: &ParseRequestError) -> ErrorAnswer {
+    ErrorAnswer::permanent(
+        StatusCode::BAD_REQUEST,
+        "invalid_request",
+        error.to_string(),
+    )
 }
 
 fn parse_meta(shared: &Shared, req: &Request, id: SmolStr) -> Result<RequestMeta, ErrorAnswer> {
@@ -85,7 +89,7 @@
         default: Duration::from_millis(limits.default_deadline_ms),
         longest: Duration::from_millis(limits.idle_ms.saturating_sub(limits.idle_ms / 10)),
     };
-    request::parse_meta(req.headers(), remote, id, &wait_limits).map_err(|bad| bad_request(&bad))
+    request::parse_meta(req.headers(), remote, id, &wait_limits).map_err(|e| bad_request(&e))
 }
 
 /// Reads a body within the configured limits on size and time.
@@ -139,7 +143,7 @@
 
 #[handler]
 async fn models(Data(shared): Data<&Arc<Shared>>, req: &Request) -> Response {
-    identified(shared, req, |_| async {
+    with_request_id(shared, req, |_| async {
         if req.method() != "GET" {
             return Err(wrong_method("GET"));
         }
@@ -157,7 +161,7 @@
 
 #[handler]
 async fn completions(Data(shared): Data<&Arc<Shared>>, req: &Request, body: Body) -> Response {
-    identified(shared, req, |id| async {
+    with_request_id(shared, req, |id| async {
         if req.method() != "POST" {
             return Err(wrong_method("POST"));
         }
@@ -165,7 +169,7 @@
         let body = read_body(shared, body).await?;
         let path = req.uri().path();
         let parsed = request::parse_completion(meta, path, req.headers(), body);
-        let parsed: ParsedRequest = parsed.map_err(|bad| bad_request(&bad))?;
+        let parsed: ParsedRequest = parsed.map_err(|e| bad_request(&e))?;
         Ok(run(shared, parsed).await)
     })
     .await
@@ -173,7 +177,7 @@
 
 #[handler]
 async fn service(Data(shared): Data<&Arc<Shared>>, req: &Request, body: Body) -> Response {
-    identified(shared, req, |id| async {
+    with_request_id(shared, req, |id| async {
         let name: SmolStr = req.raw_path_param("name").unwrap_or_default().into();
         let meta = parse_meta(shared, req, id)?;
         let body = read_body(shared, body).await?;
@@ -205,8 +209,8 @@
 }
 
 #[handler]
-async fn nothing(Data(shared): Data<&Arc<Shared>>, req: &Request) -> Response {
-    identified(shared, req, |_| async {
+async fn not_found(Data(shared): Data<&Arc<Shared>>, req: &Request) -> Response {
+    with_request_id(shared, req, |_| async {
         let message = format!("there is nothing at {}", req.uri().path());
         Err(ErrorAnswer::permanent(
             StatusCode::NOT_FOUND,
--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -21,7 +21,7 @@
 pub use task::{ClaimTask, GatewayIdentity};
 
 /// How long a claim may stay undecided, even if the deadline of its request is later.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_CLAIM_WAIT: Duration = Duration::from_secs(2);
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -152,7 +152,7 @@
         {
             return ClaimOutcome::Undecided(RETRY_AFTER);
         }
-        let limit = deadline.min(Instant::now() + LONGEST_WAIT);
+        let limit = deadline.min(Instant::now() + MAX_CLAIM_WAIT);
         // A timeout here is safe: the task only grants a claim whose receiver is still waiting.
         let decision = tokio::time::timeout_at(limit, rx).await;
         match decision {
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -1,7 +1,7 @@
 //! The task that owns the claims of one gateway: it appends claims and releases to the log, reads the
 //! claims stream back and decides each claim by the order in the log.
 
-use super::{ClaimClient, ClaimCommand, ClaimResult, Decision, Fate, LONGEST_WAIT};
+use super::{ClaimClient, ClaimCommand, ClaimResult, Decision, Fate, MAX_CLAIM_WAIT};
 use crate::dispatch::FullAnswer;
 use crate::metrics::Metrics;
 use crate::settings::ClaimSettings;
@@ -17,8 +17,8 @@
 
 const READ_LIMIT: u32 = 1024;
 const LONG_POLL: Duration = Duration::from_secs(2);
-const LOG_PAUSE: Duration = Duration::from_millis(200);
-const QUEUE: usize = 4_096;
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+const COMMAND_CAPACITY: usize = 4_096;
 
 /// The identity of this gateway in its claims.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     /// Claims that were passed to an append and have not been read back yet.
     in_flight: Vec<Pending>,
     releases: Vec<ClaimRecord>,
-    keys: HashMap<u64, KeyHash>,
+    running_keys: HashMap<u64, KeyHash>,
     fates: BTreeMap<u64, Fate>,
     last_number: u64,
     results_tx: mpsc::UnboundedSender<ClaimResult>,
@@ -84,7 +84,7 @@
         metrics: Metrics,
     ) -> Self {
         let (results_tx, results) = mpsc::unbounded_channel();
-        let (commands_tx, commands) = mpsc::channel(QUEUE);
+        let (commands_tx, commands) = mpsc::channel(COMMAND_CAPACITY);
         Self {
             log,
             identity,
@@ -95,7 +95,7 @@
             queued: Vec::new(),
             in_flight: Vec::new(),
             releases: Vec::new(),
-            keys: HashMap::new(),
+            running_keys: HashMap::new(),
             fates: BTreeMap::new(),
             last_number: 0,
             results_tx,
@@ -203,7 +203,7 @@
     fn fate(&self, number: u64) -> Fate {
         match self.fates.get(&number) {
             Some(f) => f.clone(),
-            None if self.keys.contains_key(&number) => Fate::Running,
+            None if self.running_keys.contains_key(&number) => Fate::Running,
             None if self.in_flight.iter().any(|p| p.number == number) => Fate::Running,
             None => Fate::Unknown,
         }
@@ -212,13 +212,13 @@
     fn on_result(&mut self, claim_result: ClaimResult) {
         match claim_result {
             ClaimResult::Done(number, result) => {
-                self.keys.remove(&number);
+                self.running_keys.remove(&number);
                 let fits = |w: &FullAnswer| w.body.len() <= self.settings.result_bytes;
                 let fate = result.filter(fits).map_or(Fate::Unknown, Fate::Done);
                 self.remember(number, fate);
             }
             ClaimResult::Release(number) => {
-                if let Some(key) = self.keys.remove(&number) {
+                if let Some(key) = self.running_keys.remove(&number) {
                     self.release(key, number);
                 }
             }
@@ -323,11 +323,11 @@
         let mine = self.claimant(p.number);
         match self.claims.state(p.key) {
             ClaimState::Held(who) if who == mine => {
-                self.keys.insert(p.number, p.key);
+                self.running_keys.insert(p.number, p.key);
                 if p.reply.send(Decision::Acquired(p.number)).is_err() {
                     // The caller has already received the answer that nothing ran, so the request must
                     // not run any more.
-                    self.keys.remove(&p.number);
+                    self.running_keys.remove(&p.number);
                     self.release(p.key, p.number);
                 }
             }
@@ -364,7 +364,7 @@
 where
     L: LogService,
 {
-    let res = timeout(LONGEST_WAIT, log.append(STREAM, vec![text])).await;
+    let res = timeout(MAX_CLAIM_WAIT, log.append(STREAM, vec![text])).await;
     let done = match res {
         Ok(Ok(first)) => (AppendOutcome::At(Offset(first)), None),
         _ => {
@@ -404,7 +404,7 @@
             return;
         }
         if failed {
-            sleep(LOG_PAUSE).await;
+            sleep(READ_RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/limehollow-gateway/src/dispatch.rs
+++ b/crates/limehollow-gateway/src/dispatch.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep};
 
 /// When a caller should ask again for the result of a request that is still running.
-const RESULT_PAUSE: Duration = Duration::from_secs(1);
+const RESULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request in progress and its attempts so far.
 #[derive(Debug)]
@@ -201,7 +201,7 @@
                 "running",
                 message,
                 Verdict::MayHaveRun,
-                RESULT_PAUSE,
+                RESULT_RETRY_AFTER,
             )
             .response()
         }
@@ -210,8 +210,14 @@
             let message =
                 "an earlier request with this key did not run; its claim is being given back";
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            ErrorAnswer::retryable(status, "released", message, Verdict::NotRun, RESULT_PAUSE)
-                .response()
+            ErrorAnswer::retryable(
+                status,
+                "released",
+                message,
+                Verdict::NotRun,
+                RESULT_RETRY_AFTER,
+            )
+            .response()
         }
         Fate::Unknown => {
             active.record_outcome(shared, "unknown");
--- a/crates/limehollow-gateway/src/limit.rs
+++ b/crates/limehollow-gateway/src/limit.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct Connections {
     open: AtomicUsize,
-    cut: Mutex<HashMap<SocketAddr, Arc<AtomicBool>>>,
+    abort_flags: Mutex<HashMap<SocketAddr, Arc<AtomicBool>>>,
 }
 
 impl Connections {
@@ -60,7 +60,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<AtomicBool>>> {
-        self.cut.lock().unwrap_or_else(PoisonError::into_inner)
+        self.abort_flags
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -100,13 +102,13 @@
         }
         let (io, local, remote, scheme) = self.inner.accept().await?;
         let caller = remote.as_socket_addr().copied();
-        let cut = self.connections.opened(caller);
+        let aborted = self.connections.opened(caller);
         let connections = Arc::clone(&self.connections);
         Ok((
             CountedConnection {
                 io,
                 caller,
-                cut,
+                aborted,
                 connections,
             },
             local,
@@ -121,13 +123,13 @@
 pub struct CountedConnection<T> {
     io: T,
     caller: Option<SocketAddr>,
-    cut: Arc<AtomicBool>,
+    aborted: Arc<AtomicBool>,
     connections: Arc<Connections>,
 }
 
 impl<T> CountedConnection<T> {
     fn check(&self) -> io::Result<()> {
-        if self.cut.load(Ordering::Relaxed) {
+        if self.aborted.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -35,7 +35,7 @@
     version: env!("CARGO_PKG_VERSION"),
     about: "Takes callers' requests and routes them to endpoints.",
 };
-const EVENTS: usize = 256;
+const EVENT_CAPACITY: usize = 256;
 const LIST_EVERY: Duration = Duration::from_secs(1);
 const NEWS_EVERY: Duration = Duration::from_millis(500);
 const NEWS_TIMEOUT: Duration = Duration::from_millis(800);
@@ -64,7 +64,7 @@
         .enable_all()
         .build()
         .map_err(failed)?;
-    let (events_tx, events_rx) = mpsc::channel(EVENTS);
+    let (events_tx, events_rx) = mpsc::channel(EVENT_CAPACITY);
     let (ready_tx, ready_rx) = watch::channel(Readiness::Not("starting".to_owned()));
     let table = Arc::new(ArcSwap::from_pointee(Table::default()));
     let zone = ZoneName::from(settings.availability_zone.as_str());
--- a/crates/limehollow-gateway/src/relay.rs
+++ b/crates/limehollow-gateway/src/relay.rs
@@ -48,7 +48,7 @@
     /// The last event of a complete answer.
     Last(Bytes),
     /// The error event that ends a truncated stream; no `[DONE]` follows.
-    Cut(Bytes),
+    Truncated(Bytes),
 }
 
 impl Relay {
@@ -78,18 +78,18 @@
 
     /// Returns the caller's stream. It ends with an error if the answer is incomplete.
     pub fn into_stream(self) -> impl Stream<Item = std::io::Result<Bytes>> + Send + 'static {
-        futures_util::stream::unfold(State::Open(Box::new(self)), |state| async move {
+        futures_util::stream::unfold(StreamState::Open(Box::new(self)), |state| async move {
             match state {
-                State::Open(mut relay) => match relay.next().await {
-                    StreamItem::Event(b) => Some((Ok(b), State::Open(relay))),
-                    StreamItem::Last(b) => Some((Ok(b), State::Closed)),
-                    StreamItem::Cut(b) => Some((Ok(b), State::Cut(relay))),
+                StreamState::Open(mut relay) => match relay.next().await {
+                    StreamItem::Event(b) => Some((Ok(b), StreamState::Open(relay))),
+                    StreamItem::Last(b) => Some((Ok(b), StreamState::Closed)),
+                    StreamItem::Truncated(b) => Some((Ok(b), StreamState::Truncated(relay))),
                 },
-                State::Cut(relay) => {
+                StreamState::Truncated(relay) => {
                     relay.abort_connection().await;
-                    Some((Err(std::io::Error::other("cut")), State::Closed))
+                    Some((Err(std::io::Error::other("cut")), StreamState::Closed))
                 }
-                State::Closed => None,
+                StreamState::Closed => None,
             }
         })
     }
@@ -106,7 +106,7 @@
                 Err(f) => f,
             };
             if let Err(error) = self.resume(failure).await {
-                return self.cut(&error);
+                return self.truncate(&error);
             }
         }
     }
@@ -202,10 +202,10 @@
         }
     }
 
-    fn cut(&mut self, error: &ErrorAnswer) -> StreamItem {
+    fn truncate(&mut self, error: &ErrorAnswer) -> StreamItem {
         self.outcome_recorded = true;
         self.active.record_outcome(&self.shared, "cut");
-        StreamItem::Cut(Bytes::from(format!("data: {}\n\n", error.body())))
+        StreamItem::Truncated(Bytes::from(format!("data: {}\n\n", error.body())))
     }
 }
 
@@ -218,9 +218,9 @@
 }
 
 /// The state of the caller's stream.
-enum State {
+enum StreamState {
     Open(Box<Relay>),
-    Cut(Box<Relay>),
+    Truncated(Box<Relay>),
     Closed,
 }
 
--- a/crates/limehollow-gateway/src/request.rs
+++ b/crates/limehollow-gateway/src/request.rs
@@ -25,12 +25,12 @@
 pub const KEY: &str = "idempotency-key";
 
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-const MAX_VALUE: usize = 255;
+const MAX_HEADER_VALUE: usize = 255;
 const DEFAULT_TOKENS: u32 = 16;
 const MAX_TOKENS: u32 = 1_000_000;
 /// The length of the prompt prefix that is hashed for affinity, in bytes. Requests with the same prefix
 /// go to the same endpoint if possible, since it has the prefix in its cache.
-const PREFIX: usize = 256;
+const AFFINITY_PREFIX_BYTES: usize = 256;
 
 /// Hop-by-hop headers, which apply to one connection and are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
@@ -147,8 +147,8 @@
 ///
 /// Returns [`ParseRequestError::Header`] if the caller's request ID is invalid.
 pub fn request_id(headers: &HeaderMap) -> Result<SmolStr, ParseRequestError> {
-    let given = header_text(headers, REQUEST_ID)?;
-    Ok(given.unwrap_or_else(|| format_smolstr!("{:032x}", rand::random::<u128>())))
+    let from_caller = header_text(headers, REQUEST_ID)?;
+    Ok(from_caller.unwrap_or_else(|| format_smolstr!("{:032x}", rand::random::<u128>())))
 }
 
 /// The limits on how long callers wait.
@@ -260,7 +260,7 @@
             why: format!("max_tokens must be 1 to {MAX_TOKENS}"),
         });
     }
-    let prefix = &content.as_bytes()[..content.len().min(PREFIX)];
+    let prefix = &content.as_bytes()[..content.len().min(AFFINITY_PREFIX_BYTES)];
     let affinity = hash(prefix) ^ hash(c.model.as_bytes());
     let repeat = if meta.never_repeat {
         Repeat::Never
@@ -325,15 +325,15 @@
         .flat_map(|v| v.split(','))
         .filter_map(|n| n.trim().parse().ok())
         .collect();
-    let stays = |name: &HeaderName| {
+    let is_forwarded = |name: &HeaderName| {
         let own = name.as_str().starts_with("x-limehollow-")
             || name == "host"
             || name == "content-length";
         !own && !HOP_BY_HOP.contains(&name.as_str()) && !named.contains(name)
     };
-    let kept = headers.iter().filter(|(n, _)| stays(n));
+    let forwarded = headers.iter().filter(|(n, _)| is_forwarded(n));
     let mut out = HeaderMap::with_capacity(headers.len());
-    for (n, v) in kept {
+    for (n, v) in forwarded {
         out.append(n.clone(), v.clone());
     }
     out
@@ -351,10 +351,10 @@
         return header_error(name, "stands more than once".into());
     }
     match v.to_str() {
-        Ok(s) if !s.is_empty() && s.len() <= MAX_VALUE => Ok(Some(s.into())),
+        Ok(s) if !s.is_empty() && s.len() <= MAX_HEADER_VALUE => Ok(Some(s.into())),
         _ => header_error(
             name,
-            format_smolstr!("must be 1 to {MAX_VALUE} visible ASCII characters"),
+            format_smolstr!("must be 1 to {MAX_HEADER_VALUE} visible ASCII characters"),
         ),
     }
 }
--- a/crates/limehollow-gateway/src/shared.rs
+++ b/crates/limehollow-gateway/src/shared.rs
@@ -40,7 +40,7 @@
     /// The HTTP client for requests that must not be repeated. It opens a new connection for each
     /// request: an endpoint may close a reused connection just as a request is sent on it, and then
     /// it is not known whether the request ran.
-    pub once_client: reqwest::Client,
+    pub unrepeatable_client: reqwest::Client,
     budget: Mutex<RetryBudget>,
 }
 
@@ -66,7 +66,7 @@
             connections: Arc::default(),
             unmet_demand: UnmetDemand::default(),
             client: client(usize::MAX)?,
-            once_client: client(0)?,
+            unrepeatable_client: client(0)?,
             budget: Mutex::default(),
         })
     }
