--- a/crates/limehollow-gateway/tests/callers.rs
+++ b/crates/limehollow-gateway/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers see: results, refusals that name what is wrong, limits.
+//! The gateway's HTTP interface for callers: results, error answers that name the invalid part, limits.
 
 mod rig;
 
@@ -149,7 +149,7 @@
         .send()
         .await;
     assert_eq!(res.expect("an answer").status(), 431);
-    // A caller that promises a body and sends it too slowly.
+    // A caller that announces a body and sends it too slowly.
     let address = g.url.strip_prefix("http://").expect("it is HTTP");
     let mut slow = tokio::net::TcpStream::connect(address)
         .await
@@ -187,7 +187,7 @@
         text,
         "portal PUT /drafts/7?full=yes ran as number 1: text\n"
     );
-    // A failure of the service is its own answer.
+    // A service's own error status is forwarded, without a verdict of the gateway.
     rig.service_faults(&json!({ "fail": 1 })).await;
     let url = format!("{}/services/portal/drafts", g.url);
     let res = client().get(url).send().await.expect("an answer");
