--- a/crates/limehollow-gateway/tests/claim_task.rs
+++ b/crates/limehollow-gateway/tests/claim_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the claims, before a log in memory, on paused time.
+//! Tests the claim task against an in-memory log that can fail, with tokio's time paused.
 
 use limehollow_edge::error::StatusSnafu;
 use limehollow_edge::log::LogService;
@@ -12,15 +12,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// What is wrong with the log.
+/// The fault that the in-memory log simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Fault {
     #[default]
     Nothing,
     Down,
-    /// Appends take effect and answer with an error.
+    /// Appends take effect but return an error.
     AnswersLost,
-    /// Appends are lost.
+    /// Appends have no effect and return an error.
     AppendsLost,
 }
 
@@ -135,7 +135,7 @@
 async fn acquire(c: &ClaimClient, key: u128) -> Claim {
     match c.claim(key, soon()).await {
         ClaimOutcome::Acquired(claim) => claim,
-        other => panic!("{other:?} is not mine"),
+        other => panic!("the claim was not acquired: {other:?}"),
     }
 }
 
@@ -229,7 +229,7 @@
     ));
     assert!(
         started.elapsed() < Duration::from_secs(3),
-        "it is said soon"
+        "the claim is refused soon"
     );
     log.set(Fault::Nothing);
     acquire(&two, 7).await;
@@ -252,7 +252,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn claim_of_a_caller_that_left() {
-    // The caller leaves while its claim is on its way: the key must not stay taken.
+    // The caller stops waiting while its claim is being appended: the key must not stay claimed.
     let log = MemoryLog::new();
     let one = gateway(&log, "vm-1");
     settle().await;
@@ -265,8 +265,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn claim_paused_for_long() {
-    // A gateway that was paused between its claim and its dispatch must not rely on it for longer than
-    // others surely remember it.
+    // A gateway that was paused between claim and dispatch must not rely on the claim for longer than
+    // other gateways are certain to retain it.
     let log = MemoryLog::new();
     let one = gateway(&log, "vm-1");
     settle().await;
