--- a/crates/limehollow-gateway/tests/faults.rs
+++ b/crates/limehollow-gateway/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail in every fault, and processes that stop: verdicts, streams, drains.
+//! Faulty endpoints, stopping gateways and outages of the platform: verdicts, streams and draining.
 
 mod rig;
 
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// What a raw endpoint does with a connection.
+/// How a raw endpoint breaks a connection or its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionFault {
     ResetAtOnce,
@@ -25,7 +25,7 @@
     OtherIdentity,
 }
 
-/// Listens and fails in one way; counts the requests that it read whole.
+/// Starts an endpoint with one fault. Returns its address and the number of requests that it read.
 async fn raw_endpoint(fault: ConnectionFault) -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
@@ -94,7 +94,7 @@
         let (status, verdict) = (res.status().as_u16(), header(&res, "x-limehollow-verdict"));
         let text = res.text().await.expect("whole");
         assert!(status >= 500, "{fault:?}: {status}");
-        // Where the connection went before a byte of the request left, both verdicts are true.
+        // If the connection was reset before a byte of the request was sent, both verdicts are correct.
         let nothing_left = fault == ConnectionFault::ResetAtOnce && verdict == "not-run";
         assert!(verdict == "unknown" || nothing_left, "{fault:?}: {verdict}");
         if verdict == "not-run" {
@@ -207,8 +207,8 @@
 
 #[tokio::test]
 async fn late_answer_reaches_nobody() {
-    // Requests time out at a frozen engine; when it wakes, its late answers must not be taken for
-    // those of later requests.
+    // Requests time out at a frozen engine. When it resumes, its late answers must not be delivered to
+    // later requests.
     let rig = Rig::new(1).await;
     let g = rig.gateway("vm-1", "").await;
     rig.engine_faults(0, &json!({ "frozen": true })).await;
@@ -243,7 +243,7 @@
     let body = json!({ "model": "m", "prompt": "p", "max_tokens": 400, "stream": true });
     let res = g.complete(&body).send().await.expect("an answer");
     g.signal("TERM");
-    rig.wait_until("it says that it is not ready", async || {
+    rig.wait_until("the gateway reports that it is not ready", async || {
         (!g.is_ready().await).then_some(())
     })
     .await;
@@ -252,13 +252,13 @@
         .expect("it ends")
         .expect("it is whole");
     assert_eq!(streamed_text(&text), (expected("p", 400), true));
-    assert!(g.ended().await, "it ends well by itself");
+    assert!(g.ended().await, "the gateway exits successfully by itself");
 }
 
 #[tokio::test]
 async fn rolling_replacement_loses_nothing() {
-    // Every gateway is replaced in turn under load; a balancer that follows readiness sends each
-    // request to a ready one.
+    // Each gateway is replaced in turn under load. A load balancer that follows readiness sends every
+    // request to a ready gateway.
     let rig = Rig::new(2).await;
     let mut gateways = [rig.gateway("vm-1", "").await, rig.gateway("vm-2", "").await];
     let mut sent = 0;
@@ -303,7 +303,8 @@
 
 #[tokio::test]
 async fn slow_caller_holds_little() {
-    // A caller that reads nothing: the gateway stops reading from the engine, which notices.
+    // A caller that does not read its stream: the gateway stops reading from the engine, and the
+    // engine is slowed down.
     let rig = Rig::new(1).await;
     let g = rig.gateway("vm-1", "").await;
     let address = g.url.strip_prefix("http://").expect("it is HTTP");
@@ -324,7 +325,7 @@
     })
     .await;
     sleep(Duration::from_millis(300)).await;
-    // Others are served meanwhile.
+    // Other callers are served in the meantime.
     let small = json!({ "model": "m", "prompt": "q", "max_tokens": 2 });
     assert_eq!(
         g.complete(&small).send().await.expect("an answer").status(),
@@ -346,7 +347,7 @@
         .await
         .expect("the stand-in answers");
     assert!(put.status().is_success());
-    rig.wait_until("the gateway knows", async || {
+    rig.wait_until("the gateway sees the endpoint leaving", async || {
         let res = client()
             .get(format!("{}/dump", g.admin))
             .send()
@@ -373,8 +374,8 @@
 
 #[tokio::test]
 async fn zone_cut_from_the_platform() {
-    // One gateway can't reach the platform any more: it serves on, refuses keyed calls as not-run, and
-    // the other one may run them.
+    // One gateway can't reach the platform: it continues to serve completions and refuses keyed calls
+    // with the verdict not-run, so that the other gateway may run them.
     let mut rig = Rig::new(1).await;
     rig.add_service().await;
     let cut = rig.gateway_at(&rig.far, "vm-1", "").await;
@@ -404,7 +405,7 @@
         assert_eq!(rig.service_runs(&key).await, 1);
     }
     rig.platform_faults(&json!({})).await;
-    rig.wait_until("the cut gateway knows the result", async || {
+    rig.wait_until("the reconnected gateway has the result", async || {
         let res = cut.file("key-0", "return").send().await.ok()?;
         (res.status() == 200).then_some(())
     })
@@ -414,7 +415,8 @@
 
 #[tokio::test]
 async fn deadline_beyond_the_idle_time() {
-    // A silent connection is closed after the idle time; the caller gets its answer before that.
+    // An idle connection is closed after `idle_ms`; the caller has to get its answer before that, also
+    // if its deadline is later.
     let rig = Rig::new(1).await;
     let g = rig.gateway("vm-1", "[limits]\nidle_ms = 1500\n").await;
     rig.engine_faults(0, &json!({ "frozen": true })).await;
