--- a/crates/limehollow-gateway/tests/once.rs
+++ b/crates/limehollow-gateway/tests/once.rs
@@ -1,4 +1,4 @@
-//! At most once: what the service ran against what callers were told.
+//! At-most-once execution: compares what the service ran with the answers that callers received.
 
 mod rig;
 
@@ -14,7 +14,7 @@
     (rig, one, two)
 }
 
-/// Sends a keyed call and gives its status, its verdict and its body.
+/// Sends a call with an idempotency key and returns its status, verdict and body.
 async fn file(g: &Gateway, key: &str) -> (u16, String, String) {
     let res = g.file(key, "return").send().await.expect("an answer");
     let (status, verdict) = (res.status().as_u16(), header(&res, "x-limehollow-verdict"));
@@ -58,11 +58,15 @@
     let (rig, one, two) = rig_with_two_gateways().await;
     let first = file(&one, "k").await;
     assert_eq!(first.0, 200);
-    assert_eq!(file(&one, "k").await, first, "from its own memory");
+    assert_eq!(
+        file(&one, "k").await,
+        first,
+        "from the stored result of the same gateway"
+    );
     assert_eq!(
         file(&two, "k").await,
         first,
-        "asked for at the gateway that ran it"
+        "queried from the gateway that ran the request"
     );
     assert_eq!(rig.service_runs("k").await, 1);
 }
@@ -93,7 +97,11 @@
         let (status, verdict, _) = file(g, "k").await;
         assert_eq!((status, verdict.as_str()), (503, "not-run"));
     }
-    assert_eq!(rig.service_runs("k").await, 0, "not-run is true");
+    assert_eq!(
+        rig.service_runs("k").await,
+        0,
+        "the verdict not-run is correct"
+    );
     rig.platform_faults(&json!({})).await;
     rig.wait_until("the key can be used again", async || {
         (file(&two, "k").await.0 == 200).then_some(())
@@ -104,7 +112,8 @@
 
 #[tokio::test]
 async fn key_while_appends_are_lost() {
-    // Half of the answers to appends are lost after they took effect, and some appends are dropped.
+    // In some rounds answers to appends are lost after the appends took effect, in some appends are
+    // dropped.
     let (rig, one, two) = rig_with_two_gateways().await;
     for n in 0..10 {
         let key = format!("key-{n}");
@@ -121,7 +130,7 @@
             assert_eq!(runs, 1);
         }
         if told.iter().all(|(_, verdict, _)| verdict == "not-run") {
-            assert_eq!(runs, 0, "{key} was called not-run and ran: {told:?}");
+            assert_eq!(runs, 0, "{key} ran despite the verdict not-run: {told:?}");
         }
     }
 }
@@ -158,8 +167,8 @@
 
 #[tokio::test]
 async fn key_of_a_frozen_gateway() {
-    // The gateway is frozen between its claim and its dispatch or later; the other one must not run
-    // the request, whatever the first does when it wakes.
+    // A gateway is frozen between claim and dispatch, or later. Whatever it does when it resumes, the
+    // request must not run on both gateways.
     let (rig, one, two) = rig_with_two_gateways().await;
     for n in 0..6 {
         let key = format!("key-{n}");
@@ -183,7 +192,8 @@
 
 #[tokio::test]
 async fn key_released_when_nothing_ran() {
-    // The only service is away: not-run, and the key is free for the next try on any gateway.
+    // The only endpoint of the service is down: the verdict is not-run, and the key is free for the
+    // next attempt on any gateway.
     let rig = Rig::new(0).await;
     let address = rig::free_address();
     rig.add_service_at("portal-1", &address).await;
