--- a/crates/limehollow-gateway/tests/rig/mod.rs
+++ b/crates/limehollow-gateway/tests/rig/mod.rs
@@ -1,7 +1,7 @@
-//! Gateways as real processes on real sockets, before stand-ins that run in the test.
+//! Runs gateways as processes on real sockets, against stand-ins that run in the test's process.
 //!
-//! The test writes the log itself, so no controller is needed. WaitLimits are long and only bound how
-//! long a failure takes to show: no verdict depends on how fast the machine is.
+//! The test writes the log itself, so no controller is needed. Timeouts are long and only bound how
+//! long a failing test takes: no result depends on the speed of the machine.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -34,7 +34,7 @@
     b.build().expect("an HTTP client")
 }
 
-/// A gateway's process; it ends with the test.
+/// A gateway's process, which is killed on drop.
 pub struct Gateway {
     child: Child,
     pub url: String,
@@ -64,7 +64,7 @@
         assert!(status.expect("kill is there").success());
     }
 
-    /// WaitLimits for the process to end and gives whether it ended well.
+    /// Waits for the process to exit and returns `true` if it exited successfully.
     pub async fn ended(&mut self) -> bool {
         let end = Instant::now() + LONG;
         while Instant::now() < end {
@@ -98,7 +98,7 @@
 
 pub struct Rig {
     pub platform: String,
-    /// Another address of the platform, which a fault can cut.
+    /// A second address of the platform, which the fault `cut_zones` makes unreachable.
     pub far: String,
     pub engines: Vec<String>,
     pub service: Option<String>,
@@ -106,7 +106,7 @@
 }
 
 impl Rig {
-    /// Starts a platform, engines in zone `a` that hold model `m`, and confirms an intent for it.
+    /// Starts a platform and engines in zone `a` with model `m` loaded, and confirms an intent for `m`.
     pub async fn new(engines: usize) -> Self {
         let (platform, far) = (free_address(), free_address());
         let settings = PlatformSettings {
@@ -249,7 +249,7 @@
         self.service = Some(address);
     }
 
-    /// Tells the log of a plain service at any address.
+    /// Appends a plain service at the given address to the log.
     pub async fn add_service_at(&self, name: &str, address: &str) {
         let kind = EndpointKind::Service {
             name: "portal".into(),
@@ -308,7 +308,7 @@
             if let Some(t) = f().await {
                 return t;
             }
-            assert!(Instant::now() < end, "{what} did not come");
+            assert!(Instant::now() < end, "timed out waiting for: {what}");
             sleep(Duration::from_millis(10)).await;
         }
     }
@@ -349,7 +349,7 @@
             .expect("it is a history")
     }
 
-    /// Counts how often a request really ran, over all engines.
+    /// Returns how often a request ran, over all engines.
     pub async fn runs(&self, id: &str) -> usize {
         let mut n = 0;
         for i in 0..self.engines.len() {
@@ -359,7 +359,7 @@
         n
     }
 
-    /// Counts how often a keyed call really ran at the service.
+    /// Returns how often a call with an idempotency key ran at the service.
     pub async fn service_runs(&self, key: &str) -> usize {
         let service = self.service.as_deref().expect("there is a service");
         let res = client()
@@ -387,7 +387,7 @@
     })
 }
 
-/// Gives a header of an answer as text.
+/// Returns a response header as text, or an empty string if it is missing.
 pub fn header(res: &reqwest::Response, name: &str) -> String {
     res.headers()
         .get(name)
@@ -396,7 +396,7 @@
         .to_owned()
 }
 
-/// Gives the words of a streamed answer, and whether it ended as a whole one.
+/// Returns the text of a streamed answer, and `true` if it ended with `[DONE]`.
 pub fn streamed_text(stream: &str) -> (String, bool) {
     let mut text = String::new();
     let mut whole = false;
@@ -411,7 +411,7 @@
     (text, whole)
 }
 
-/// Gives the words that the model answers to a prompt with.
+/// Returns the text that the stand-in engine generates for a prompt.
 pub fn expected(prompt: &str, tokens: u32) -> String {
     (0..tokens)
         .map(|i| stand_ins::engine::word(prompt, i))
