--- a/crates/limehollow-controller/src/io.rs
+++ b/crates/limehollow-controller/src/io.rs
@@ -146,7 +146,7 @@
             this.metrics.gossip_sent.inc();
             this.metrics.gossip_bytes.inc_by(encode(&req).len() as u64);
             let client = this.peer(&address).await;
-            let reply = client.lock().await.ask(&req, PEER_TIMEOUT).await;
+            let reply = client.lock().await.request(&req, PEER_TIMEOUT).await;
             if let Ok(Reply::Gossip(d)) = reply {
                 let _stopped = this.events.send(Event::Heard(d)).await;
             }
@@ -158,7 +158,7 @@
         let this = self.clone();
         self.runtime.spawn(async move {
             let reply = PeerClient::new(&address)
-                .ask(&Request::State, STATE_TIMEOUT)
+                .request(&Request::State, STATE_TIMEOUT)
                 .await;
             let state = match reply {
                 Ok(Reply::State(Some(text))) => snapshot(&text).ok().flatten(),
--- a/crates/limehollow-edge/src/peer.rs
+++ b/crates/limehollow-edge/src/peer.rs
@@ -90,8 +90,8 @@
     /// # Errors
     ///
     /// [`crate::Error::Peer`] if there is no reply within the time, or none that can be read.
-    pub async fn ask(&mut self, req: &Request, within: Duration) -> Result<Reply> {
-        let res = match tokio::time::timeout(within, self.try_ask(req)).await {
+    pub async fn request(&mut self, req: &Request, within: Duration) -> Result<Reply> {
+        let res = match tokio::time::timeout(within, self.try_request(req)).await {
             Ok(res) => res,
             Err(_) => Err(format!("no reply within {} ms", within.as_millis())),
         };
@@ -107,7 +107,7 @@
         })
     }
 
-    async fn try_ask(&mut self, req: &Request) -> Result<Reply, String> {
+    async fn try_request(&mut self, req: &Request) -> Result<Reply, String> {
         if self.socket.is_none() {
             let url = url(&self.address).map_err(|e| e.to_string())?;
             self.socket = Some(Req0::dial(url).await.map_err(|e| e.to_string())?);
--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -182,7 +182,10 @@
         incarnation: who.incarnation,
         number: who.number,
     };
-    match PeerClient::new(&who.address).ask(&req, PEER_TIMEOUT).await {
+    match PeerClient::new(&who.address)
+        .request(&req, PEER_TIMEOUT)
+        .await
+    {
         Ok(Reply::Claim(fate)) => Fate::from(fate),
         _ => Fate::Unknown,
     }
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -192,7 +192,8 @@
     let mut said = Instant::now();
     loop {
         if !has_state
-            && let Ok(Reply::State(Some(text))) = client.ask(&Request::State, STATE_TIMEOUT).await
+            && let Ok(Reply::State(Some(text))) =
+                client.request(&Request::State, STATE_TIMEOUT).await
             && let Ok(Some((next, fleet))) = snapshot(&text)
         {
             has_state = true;
@@ -206,7 +207,7 @@
         }
         let words = shared.unmet.take(said.elapsed());
         said = Instant::now();
-        if let Ok(Reply::News(news)) = client.ask(&Request::News(words), NEWS_TIMEOUT).await
+        if let Ok(Reply::News(news)) = client.request(&Request::News(words), NEWS_TIMEOUT).await
             && events.send(Event::News(news)).await.is_err()
         {
             return;
