--- a/crates/limehollow-controller/src/io.rs
+++ b/crates/limehollow-controller/src/io.rs
@@ -112,7 +112,7 @@
     pub fn look(&self, vm: VmName, address: String) {
         let this = self.clone();
         self.runtime.spawn(async move {
-            let look = this.endpoints.look(&vm, &address).await.ok();
+            let look = this.endpoints.poll(&vm, &address).await.ok();
             this.metrics.looks.inc();
             this.metrics.look_failures.inc_by(u64::from(look.is_none()));
             let _stopped = this.events.send(Event::Looked(vm, look)).await;
--- a/crates/limehollow-edge/src/engine.rs
+++ b/crates/limehollow-edge/src/engine.rs
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// If it does not answer, or not as it should.
-    pub async fn look(&self, endpoint: &VmName, address: &str) -> Result<Observation> {
+    pub async fn poll(&self, endpoint: &VmName, address: &str) -> Result<Observation> {
         let began = Instant::now();
         let req = self.client.get(format!("http://{address}/state"));
         let state: State = json("endpoint state", req).await?;
