--- a/crates/limehollow-edge/src/members.rs
+++ b/crates/limehollow-edge/src/members.rs
@@ -18,7 +18,7 @@
     /// The rows.
     pub rows: Vec<Listed>,
     /// How many rows were left out because they made no sense.
-    pub unread: usize,
+    pub unreadable: usize,
 }
 
 impl HttpMembers {
@@ -47,7 +47,7 @@
             .into_iter()
             .filter_map(|m| Listed::try_from(m).ok())
             .collect();
-        let unread = all - rows.len();
-        Ok(Listing { rows, unread })
+        let unreadable = all - rows.len();
+        Ok(Listing { rows, unreadable })
     }
 }
