--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -23,10 +23,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, interval};
 
-const TICK: Duration = Duration::from_millis(100);
-const GOSSIP_EVERY: Duration = Duration::from_secs(1);
-const APPEND_PAUSE: Duration = Duration::from_millis(500);
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(500);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What an append that is under way keeps the driver waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,13 +59,13 @@
     waiting: Waiting,
     next_append: Instant,
     next_gossip: Instant,
-    next_watch: Instant,
+    next_load_poll: Instant,
     /// Whether the log was read to its end, or a peer's state was taken over.
     caught_up: bool,
     log_failing: bool,
     was_holder: bool,
     /// The next offset when the fleet's gauges were last set.
-    shown: Offset,
+    gauges_offset: Offset,
     /// The offset at which the last snapshot of this process was appended.
     snapshot_at: Offset,
 }
@@ -82,15 +82,15 @@
     ) -> Self {
         let now = Instant::now();
         let zone = ZoneName::from(settings.availability_zone.as_str());
-        let me = VmName::from(settings.name.as_str());
+        let own_vm = VmName::from(settings.name.as_str());
         let rng = StdRng::seed_from_u64(incarnation);
         let seeds = settings.seed_peers.clone();
         let ttl = Duration::from_millis(settings.rules.lease_ttl_ms);
         Self {
-            lease: LeaseWatch::new(zone.clone(), me.clone(), incarnation)
+            lease: LeaseWatch::new(zone.clone(), own_vm.clone(), incarnation)
                 .with_times(ttl, DEFAULT_STAGGER),
-            gossip: Gossip::new(now, zone.clone(), me.clone(), incarnation, seeds, rng),
-            driver: Driver::new(zone.clone(), me, incarnation, settings.rules.into()),
+            gossip: Gossip::new(now, zone.clone(), own_vm.clone(), incarnation, seeds, rng),
+            driver: Driver::new(zone.clone(), own_vm, incarnation, settings.rules.into()),
             settings,
             incarnation,
             zone,
@@ -102,34 +102,34 @@
             waiting: Waiting::Nothing,
             next_append: now,
             next_gossip: now,
-            next_watch: now,
+            next_load_poll: now,
             caught_up: false,
             log_failing: false,
             was_holder: false,
-            shown: Offset(0),
+            gauges_offset: Offset(0),
             snapshot_at: Offset(0),
         }
     }
 
     /// Runs until told to stop.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         for seed in self.settings.seed_peers.clone() {
-            self.io.ask_state(seed);
+            self.io.request_state(seed);
         }
         loop {
             tokio::select! {
                 event = events.recv() => match event {
                     None | Some(Event::Stop) => return,
-                    Some(e) => self.take(e),
+                    Some(e) => self.handle_event(e),
                 },
                 _ = ticks.tick() => self.tick(),
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = Instant::now();
         match event {
             Event::Log(batch) => self.on_log(now, batch),
@@ -139,11 +139,11 @@
                 self.driver.on_list(now, listing.rows.clone());
                 self.list = listing.rows;
             }
-            Event::Looked(vm, look) => {
-                if let Some(l) = &look {
-                    self.gossip.on_look(&vm, l);
+            Event::Polled(vm, observation) => {
+                if let Some(o) = &observation {
+                    self.gossip.on_observation(&vm, o);
                 }
-                self.driver.on_observation(now, &vm, look);
+                self.driver.on_observation(now, &vm, observation);
             }
             Event::Fenced(vm, number, agreed) => self.driver.on_fenced(now, &vm, number, agreed),
             Event::Sent(order, res) => self.driver.on_send_result(now, order, res),
@@ -158,13 +158,13 @@
             }
             Event::Appended(Err(at)) => {
                 self.waiting = Waiting::End(at);
-                self.next_append = now + APPEND_PAUSE;
+                self.next_append = now + APPEND_RETRY_DELAY;
             }
-            Event::Asked(req, reply) => {
+            Event::PeerRequest(req, reply) => {
                 // A peer that no longer waits for its reply needs none.
                 let _gone = reply.send(self.answer(now, req));
             }
-            Event::Heard(digest) => self.gossip.on_digest(now, digest),
+            Event::GossipReply(digest) => self.gossip.on_digest(now, digest),
             Event::PeerState(state) => self.on_peer_state(now, state),
             Event::Dump(reply) => {
                 let _gone = reply.send(self.dump(now));
@@ -189,7 +189,7 @@
         for entry in batch.entries {
             self.metrics.records.inc();
             let applied = self.replay.push_entry(entry);
-            self.note(applied);
+            self.count_void_records(applied);
         }
         let next = self.replay.fleet().next_offset();
         let at_end = next >= batch.end && !self.replay.has_gap();
@@ -202,7 +202,7 @@
         self.decide(now);
     }
 
-    fn note(&mut self, applied: Vec<Applied>) {
+    fn count_void_records(&mut self, applied: Vec<Applied>) {
         for (offset, res) in applied {
             if let Err(e) = res {
                 self.metrics.void_records.inc();
@@ -218,7 +218,7 @@
     ) {
         let Some((next, fleet)) = state else { return };
         let applied = self.replay.install_snapshot_and_replay(next, *fleet);
-        self.note(applied);
+        self.count_void_records(applied);
         // The state counts as complete only if no live peer is known to be further.
         let highest = self.gossip.members.highest_next(now);
         self.caught_up |= !self.replay.has_gap() && self.replay.fleet().next_offset() >= highest;
@@ -228,7 +228,7 @@
         let now = Instant::now();
         let next = self.replay.fleet().next_offset();
         if now >= self.next_gossip {
-            self.next_gossip = now + GOSSIP_EVERY;
+            self.next_gossip = now + GOSSIP_INTERVAL;
             self.gossip.tick(now, next);
             for peer in self.gossip.choose_peers() {
                 let digest = self.gossip.digest(now, &[]);
@@ -238,35 +238,35 @@
                 self.driver
                     .on_unmet_demand(said, vm.clone(), model.as_str().into(), rate);
             }
-            self.ask_for_state();
+            self.request_missing_state();
         }
-        if now >= self.next_watch {
-            self.next_watch = now + WATCH_EVERY;
-            self.watch_loads(now);
+        if now >= self.next_load_poll {
+            self.next_load_poll = now + LOAD_POLL_INTERVAL;
+            self.poll_watched_endpoints(now);
         }
         self.decide(now);
-        self.show();
+        self.publish_status();
     }
 
     /// Asks a peer for the state while the log's beginning is missing or out of reach.
-    fn ask_for_state(&mut self) {
+    fn request_missing_state(&mut self) {
         if self.caught_up && !self.replay.has_gap() {
             return;
         }
         if let Some(peer) = self.gossip.choose_peers().pop() {
-            self.io.ask_state(peer);
+            self.io.request_state(peer);
         }
     }
 
     /// Looks at the endpoints that this controller watches, unless the driver does so anyway.
-    fn watch_loads(&mut self, now: Instant) {
+    fn poll_watched_endpoints(&mut self, now: Instant) {
         if self.lease.holds_lease(self.replay.fleet()) {
             return;
         }
         let own = |l: &&Listed| l.zone == self.zone && l.kind != ListedKind::Entry;
         for l in self.list.iter().filter(own) {
             if self.gossip.watches(now, &l.vm) {
-                self.io.look(l.vm.clone(), l.address.to_string());
+                self.io.poll(l.vm.clone(), l.address.to_string());
             }
         }
     }
@@ -289,8 +289,8 @@
             self.lease.record_holder_alive(now, fleet);
         }
         let rank = self.gossip.members.rank(now);
-        let take = self.lease.poll(now, fleet, rank);
-        records.extend(take.map(Record::LeaseTaken));
+        let takeover = self.lease.poll(now, fleet, rank);
+        records.extend(takeover.map(Record::LeaseTaken));
         for command in self.driver.step(now, fleet, &self.gossip.members) {
             match command {
                 Command::Append(r) => records.push(r),
@@ -302,7 +302,7 @@
                 } => {
                     self.io.fence(endpoint, address.to_string(), number);
                 }
-                Command::Poll { endpoint, address } => self.io.look(endpoint, address.to_string()),
+                Command::Poll { endpoint, address } => self.io.poll(endpoint, address.to_string()),
             }
         }
         let mut texts: Vec<String> = records.iter().map(encode).collect();
@@ -353,7 +353,7 @@
     }
 
     /// Shows in metrics, readiness and logs how things stand.
-    fn show(&mut self) {
+    fn publish_status(&mut self) {
         let fleet = self.replay.fleet();
         let holds = self.lease.holds_lease(fleet);
         if holds != self.was_holder {
@@ -366,9 +366,9 @@
             }
         }
         let next = fleet.next_offset();
-        if next != self.shown {
-            self.shown = next;
-            self.show_fleet();
+        if next != self.gauges_offset {
+            self.gauges_offset = next;
+            self.update_fleet_gauges();
         }
         self.metrics.holds_lease.set(i64::from(holds));
         let ready = if self.caught_up {
@@ -384,7 +384,7 @@
     }
 
     /// Shows the fleet's gauges; goes through the whole fleet, so only when it has changed.
-    fn show_fleet(&self) {
+    fn update_fleet_gauges(&self) {
         let fleet = self.replay.fleet();
         let m = &self.metrics;
         let gauge = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
--- a/crates/limehollow-controller/src/event.rs
+++ b/crates/limehollow-controller/src/event.rs
@@ -18,7 +18,7 @@
     /// The platform's membership list, or nothing if it could not be read.
     List(Option<Listing>),
     /// A look at an endpoint ended.
-    Looked(VmName, Option<Observation>),
+    Polled(VmName, Option<Observation>),
     /// A fence ended.
     Fenced(VmName, Offset, Option<Incarnation>),
     /// Sending an order ended.
@@ -26,9 +26,9 @@
     /// An append ended: the last offset that it was given, or when it failed.
     Appended(Result<Offset, Instant>),
     /// A peer asks.
-    Asked(Request, oneshot::Sender<Reply>),
+    PeerRequest(Request, oneshot::Sender<Reply>),
     /// A peer answered gossip.
-    Heard(Digest),
+    GossipReply(Digest),
     /// A peer gave its state.
     PeerState(Option<(Offset, Box<limehollow::fleet::Fleet>)>),
     /// An operator wants a dump.
--- a/crates/limehollow-controller/src/gossip.rs
+++ b/crates/limehollow-controller/src/gossip.rs
@@ -20,21 +20,21 @@
 pub const MAX_LOADS: usize = 8;
 
 #[derive(Debug)]
-struct Heard {
+struct StoredLoad {
     incarnation: Incarnation,
-    taken: Instant,
+    observed_at: Instant,
     report: LoadReport,
-    told: u32,
+    times_sent: u32,
 }
 
 /// What a controller has heard.
 #[derive(Debug)]
 pub struct Gossip {
     zone: ZoneName,
-    me: VmName,
+    own_vm: VmName,
     /// The entry VMs of the zone.
     pub members: Membership,
-    loads: BTreeMap<VmName, Heard>,
+    loads: BTreeMap<VmName, StoredLoad>,
     /// Entry VMs of the zone on the platform's list, with their peer addresses.
     peers: BTreeMap<VmName, String>,
     seeds: Vec<String>,
@@ -50,15 +50,15 @@
     pub fn new(
         now: Instant,
         zone: ZoneName,
-        me: VmName,
+        own_vm: VmName,
         incarnation: Incarnation,
         seeds: Vec<String>,
         rng: StdRng,
     ) -> Self {
         Self {
-            members: Membership::new(now, me.clone(), incarnation),
+            members: Membership::new(now, own_vm.clone(), incarnation),
             zone,
-            me,
+            own_vm,
             loads: BTreeMap::new(),
             peers: BTreeMap::new(),
             seeds,
@@ -74,7 +74,7 @@
             .iter()
             .filter(|l| l.zone == self.zone && l.kind == ListedKind::Entry);
         self.peers = entries
-            .filter(|l| l.vm != self.me)
+            .filter(|l| l.vm != self.own_vm)
             .map(|l| (l.vm.clone(), l.address.to_string()))
             .collect();
         let endpoints = rows.iter().filter(|l| l.kind != ListedKind::Entry);
@@ -85,8 +85,8 @@
     }
 
     /// Takes in a look at an endpoint.
-    pub fn on_look(&mut self, vm: &VmName, look: &Observation) {
-        self.merge_load(vm.clone(), look.incarnation, look.began, look.load);
+    pub fn on_observation(&mut self, vm: &VmName, observation: &Observation) {
+        self.merge_load(vm.clone(), observation.incarnation, observation.began, observation.load);
     }
 
     /// Takes in what a peer has heard.
@@ -98,10 +98,10 @@
         }
         for l in d.loads {
             let age = std::time::Duration::from_millis(u64::from(l.age_ms));
-            let Some(taken) = now.checked_sub(age) else {
+            let Some(observed_at) = now.checked_sub(age) else {
                 continue;
             };
-            self.merge_load(l.vm.as_str().into(), l.incarnation, taken, l.report());
+            self.merge_load(l.vm.as_str().into(), l.incarnation, observed_at, l.report());
         }
         self.on_unmet(now, d.unmet);
         // News of leaving endpoints only lasts until the list is next read; then the list counts.
@@ -110,10 +110,10 @@
     }
 
     /// Takes in what a gateway had to refuse; the own gateway's word has no VM.
-    pub fn on_unmet(&mut self, now: Instant, words: Vec<WireUnmet>) {
-        for w in words {
+    pub fn on_unmet(&mut self, now: Instant, reports: Vec<WireUnmet>) {
+        for w in reports {
             let vm = if w.vm.is_empty() {
-                self.me.clone()
+                self.own_vm.clone()
             } else {
                 w.vm.as_str().into()
             };
@@ -135,16 +135,16 @@
             .map(|((vm, model), (rate, said))| (vm, model, f64::from(*rate) / 1e3, *said))
     }
 
-    fn merge_load(&mut self, vm: VmName, incarnation: Incarnation, taken: Instant, r: LoadReport) {
-        let newer = self.loads.get(&vm).is_none_or(|h| h.taken < taken);
+    fn merge_load(&mut self, vm: VmName, incarnation: Incarnation, observed_at: Instant, r: LoadReport) {
+        let newer = self.loads.get(&vm).is_none_or(|h| h.observed_at < observed_at);
         if newer {
             self.loads.insert(
                 vm,
-                Heard {
+                StoredLoad {
                     incarnation,
-                    taken,
+                    observed_at,
                     report: r,
-                    told: 0,
+                    times_sent: 0,
                 },
             );
         }
@@ -156,7 +156,7 @@
         self.unmet
             .retain(|_, (_, said)| now.duration_since(*said) < DEMAND_REPORT_LIFETIME);
         self.loads
-            .retain(|_, h| now.duration_since(h.taken) < REPORT_LIFE);
+            .retain(|_, h| now.duration_since(h.observed_at) < REPORT_LIFE);
     }
 
     /// Gives what to tell a peer: the reports that were told least, the youngest first, and what it
@@ -168,13 +168,13 @@
             .collect();
         let heartbeats = self.members.digest(now, &known);
         let heartbeats = heartbeats.iter().map(WireHeartbeat::from).collect();
-        let mut rows: Vec<(&VmName, &mut Heard)> = self.loads.iter_mut().collect();
-        rows.sort_by_key(|(_, h)| (h.told, std::cmp::Reverse(h.taken)));
+        let mut rows: Vec<(&VmName, &mut StoredLoad)> = self.loads.iter_mut().collect();
+        rows.sort_by_key(|(_, h)| (h.times_sent, std::cmp::Reverse(h.observed_at)));
         rows.truncate(MAX_LOADS);
         let loads = rows
             .into_iter()
             .map(|(vm, h)| {
-                h.told += 1;
+                h.times_sent += 1;
                 wire_load(now, vm, h)
             })
             .collect();
@@ -239,11 +239,11 @@
     #[must_use]
     pub fn watches(&self, now: Instant, endpoint: &VmName) -> bool {
         let alive: Vec<VmName> = self.members.alive(now).map(|h| h.vm.clone()).collect();
-        watches(&self.me, alive.iter(), endpoint.as_str(), WATCHERS)
+        watches(&self.own_vm, alive.iter(), endpoint.as_str(), WATCHERS)
     }
 }
 
-fn wire_load(now: Instant, vm: &VmName, h: &Heard) -> WireLoad {
-    let age = u32::try_from(now.duration_since(h.taken).as_millis()).unwrap_or(u32::MAX);
+fn wire_load(now: Instant, vm: &VmName, h: &StoredLoad) -> WireLoad {
+    let age = u32::try_from(now.duration_since(h.observed_at).as_millis()).unwrap_or(u32::MAX);
     WireLoad::new(vm, h.incarnation, age, h.report)
 }
--- a/crates/limehollow-controller/src/io.rs
+++ b/crates/limehollow-controller/src/io.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep};
 
 /// How often the platform's list is read.
-pub const LIST_EVERY: Duration = Duration::from_secs(1);
+pub const LIST_INTERVAL: Duration = Duration::from_secs(1);
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
 const STATE_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -76,13 +76,13 @@
                 if events.send(Event::List(listing)).await.is_err() {
                     return;
                 }
-                sleep(LIST_EVERY).await;
+                sleep(LIST_INTERVAL).await;
             }
         });
         let events = self.events.clone();
         self.runtime.spawn(async move {
-            let ask = move |req| ask_control(events.clone(), req);
-            if let Err(e) = peer::serve(&peer_address, ask).await {
+            let handler = move |req| request_from_control(events.clone(), req);
+            if let Err(e) = peer::serve(&peer_address, handler).await {
                 tracing::error!(error = %e, "peers can't reach this controller");
             }
         });
@@ -109,13 +109,13 @@
     }
 
     /// Looks at an endpoint.
-    pub fn look(&self, vm: VmName, address: String) {
+    pub fn poll(&self, vm: VmName, address: String) {
         let this = self.clone();
         self.runtime.spawn(async move {
-            let look = this.endpoints.poll(&vm, &address).await.ok();
-            this.metrics.looks.inc();
-            this.metrics.look_failures.inc_by(u64::from(look.is_none()));
-            let _stopped = this.events.send(Event::Looked(vm, look)).await;
+            let observation = this.endpoints.poll(&vm, &address).await.ok();
+            this.metrics.polls.inc();
+            this.metrics.poll_failures.inc_by(u64::from(observation.is_none()));
+            let _stopped = this.events.send(Event::Polled(vm, observation)).await;
         });
     }
 
@@ -148,13 +148,13 @@
             let client = this.peer(&address).await;
             let reply = client.lock().await.request(&req, PEER_TIMEOUT).await;
             if let Ok(Reply::Gossip(d)) = reply {
-                let _stopped = this.events.send(Event::Heard(d)).await;
+                let _stopped = this.events.send(Event::GossipReply(d)).await;
             }
         });
     }
 
     /// Asks a peer for its state.
-    pub fn ask_state(&self, address: String) {
+    pub fn request_state(&self, address: String) {
         let this = self.clone();
         self.runtime.spawn(async move {
             let reply = PeerClient::new(&address)
@@ -176,8 +176,8 @@
     }
 }
 
-async fn ask_control(events: mpsc::Sender<Event>, req: Request) -> Option<Reply> {
+async fn request_from_control(events: mpsc::Sender<Event>, req: Request) -> Option<Reply> {
     let (tx, rx) = oneshot::channel();
-    events.send(Event::Asked(req, tx)).await.ok()?;
+    events.send(Event::PeerRequest(req, tx)).await.ok()?;
     rx.await.ok()
 }
--- a/crates/limehollow-controller/src/main.rs
+++ b/crates/limehollow-controller/src/main.rs
@@ -19,7 +19,7 @@
     version: env!("CARGO_PKG_VERSION"),
     about: "Plans placements and carries out orders for one availability zone.",
 };
-const EVENTS: usize = 1024;
+const EVENT_CAPACITY: usize = 1024;
 
 fn main() -> ExitCode {
     daemon(&PROGRAM, run)
@@ -44,7 +44,7 @@
         .build()
         .map_err(failed)?;
     let metrics = Metrics::default();
-    let (events_tx, events_rx) = mpsc::channel(EVENTS);
+    let (events_tx, events_rx) = mpsc::channel(EVENT_CAPACITY);
     let (ready_tx, ready_rx) = watch::channel(Readiness::Not("starting".to_owned()));
     let (dumps_tx, mut dumps_rx) = mpsc::channel(4);
     let admin = Admin {
--- a/crates/limehollow-controller/src/metrics.rs
+++ b/crates/limehollow-controller/src/metrics.rs
@@ -20,9 +20,9 @@
     /// Orders sent to endpoints.
     pub orders_sent: Counter,
     /// Looks at endpoints.
-    pub looks: Counter,
+    pub polls: Counter,
     /// Looks that failed.
-    pub look_failures: Counter,
+    pub poll_failures: Counter,
     /// Messages to peers.
     pub gossip_sent: Counter,
     /// Bytes of those messages.
@@ -59,11 +59,11 @@
                 &self.append_failures,
             ),
             ("orders_sent", "Orders sent to endpoints", &self.orders_sent),
-            ("looks", "Looks at endpoints", &self.looks),
+            ("looks", "Looks at endpoints", &self.polls),
             (
                 "look_failures",
                 "Looks at endpoints that failed",
-                &self.look_failures,
+                &self.poll_failures,
             ),
             ("gossip_sent", "Messages to peers", &self.gossip_sent),
             (
