--- a/crates/limehollow-controller/src/lib.rs
+++ b/crates/limehollow-controller/src/lib.rs
@@ -1,7 +1,10 @@
-//! The controller: one on each entry VM; at most one per availability zone holds its lease.
+//! The controller process, which runs on each entry VM.
 //!
-//! All state is on one thread, the one that runs [`control::Control`]. Calls to the outside run on
-//! other threads and come back as [`event::Event`]s. What to do is decided in [`limehollow`].
+//! At most one controller per availability zone holds the zone's lease.
+//!
+//! A single thread, the one that runs [`control::Control`], owns all state. Calls to other processes
+//! run on other threads and return their results as [`event::Event`]s. The decisions are made in
+//! [`limehollow`].
 
 pub mod control;
 pub mod event;
