--- a/crates/limehollow-controller/src/main.rs
+++ b/crates/limehollow-controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller's process.
+//! Entry point of the controller process: starts the threads, the admin port and the control loop.
 
 use limehollow_controller::control::Control;
 use limehollow_controller::event::Event;
@@ -69,7 +69,7 @@
     });
     let served = io_runtime.spawn(async move {
         let res = admin::serve(&admin_address, admin, poem::Route::new(), stop_signal()).await;
-        // The control thread ends whether the port was closed by a signal or never opened.
+        // Stops the control thread both after a signal closed the port and if the port never opened.
         let _stopped = events_tx.send(Event::Stop).await;
         res
     });
