--- a/crates/limehollow-controller/src/event.rs
+++ b/crates/limehollow-controller/src/event.rs
@@ -1,4 +1,4 @@
-//! What comes back to the control thread from the others.
+//! Events that the other threads send to the control thread.
 
 use limehollow::id::{Incarnation, Offset, VmName};
 use limehollow::listing::Observation;
@@ -10,29 +10,30 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// One event for the control thread.
+/// An event for the control thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A part of the log, or nothing if it could not be read.
+    /// A batch of log entries, or `None` if the read failed.
     Log(Option<Batch>),
-    /// The platform's membership list, or nothing if it could not be read.
+    /// The platform's membership list, or `None` if the read failed.
     List(Option<Listing>),
-    /// A look at an endpoint ended.
+    /// A poll of an endpoint ended: its observation, or `None` if the poll failed.
     Polled(VmName, Option<Observation>),
-    /// A fence ended.
+    /// A fence request with this fencing number ended: the endpoint's incarnation, or `None` if the request
+    /// failed.
     Fenced(VmName, Offset, Option<Incarnation>),
-    /// Sending an order ended.
+    /// The attempt to send the order with this number ended.
     Sent(Offset, SendResult),
-    /// An append ended: the last offset that it was given, or when it failed.
+    /// An append ended: the offset of its last record, or the time at which it failed.
     Appended(Result<Offset, Instant>),
-    /// A peer asks.
+    /// A peer sent a request; the reply goes through the channel.
     PeerRequest(Request, oneshot::Sender<Reply>),
-    /// A peer answered gossip.
+    /// A peer replied to a gossip message.
     GossipReply(Digest),
-    /// A peer gave its state.
+    /// A request for a peer's state ended: the next offset and the state, or `None` if there is none.
     PeerState(Option<(Offset, Box<limehollow::fleet::Fleet>)>),
-    /// An operator wants a dump.
+    /// An operator requested a dump of the state.
     Dump(DumpRequest),
-    /// The process is to stop.
+    /// The process must stop.
     Stop,
 }
