--- a/crates/limehollow-controller/src/io.rs
+++ b/crates/limehollow-controller/src/io.rs
@@ -1,4 +1,5 @@
-//! Calls to the outside, on threads of their own; each ends as an event for the control thread.
+//! Calls to other processes, which run on separate threads and send their results as events to the
+//! control thread.
 
 use crate::event::Event;
 use crate::metrics::Metrics;
@@ -19,12 +20,12 @@
 use tokio::sync::{Mutex, mpsc, oneshot};
 use tokio::time::{Instant, sleep};
 
-/// How often the platform's list is read.
+/// The interval between reads of the platform's membership list.
 pub const LIST_INTERVAL: Duration = Duration::from_secs(1);
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
 const STATE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The clients of the outside.
+/// The clients of the log, the membership list, the endpoints and the peers.
 #[derive(Clone, Debug)]
 pub struct Io {
     runtime: Handle,
@@ -37,11 +38,11 @@
 }
 
 impl Io {
-    /// Makes the clients; calls run on `runtime`.
+    /// Creates the clients. Calls run on `runtime`.
     ///
     /// # Errors
     ///
-    /// If the HTTP library can't start.
+    /// If the HTTP client can't be created.
     pub fn new(
         runtime: Handle,
         events: mpsc::Sender<Event>,
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Starts to follow the log, the list and the peers' requests.
+    /// Starts the tasks that read the log and the membership list and serve the peers' requests.
     pub fn start(&self, from: Offset, peer_address: String) {
         let (tx, mut rx) = mpsc::channel(4);
         self.runtime.spawn(tail(self.log.clone(), from, tx));
@@ -83,12 +84,12 @@
         self.runtime.spawn(async move {
             let handler = move |req| request_from_control(events.clone(), req);
             if let Err(e) = peer::serve(&peer_address, handler).await {
-                tracing::error!(error = %e, "peers can't reach this controller");
+                tracing::error!(error = %e, "the peer socket failed; peers can't reach this controller");
             }
         });
     }
 
-    /// Appends records together.
+    /// Appends records to the log in one call.
     pub fn append(&self, records: Vec<String>) {
         let (log, events, metrics) = (self.log.clone(), self.events.clone(), self.metrics.clone());
         self.runtime.spawn(async move {
@@ -108,18 +109,20 @@
         });
     }
 
-    /// Looks at an endpoint.
+    /// Polls an endpoint's state.
     pub fn poll(&self, vm: VmName, address: String) {
         let this = self.clone();
         self.runtime.spawn(async move {
             let observation = this.endpoints.poll(&vm, &address).await.ok();
             this.metrics.polls.inc();
-            this.metrics.poll_failures.inc_by(u64::from(observation.is_none()));
+            this.metrics
+                .poll_failures
+                .inc_by(u64::from(observation.is_none()));
             let _stopped = this.events.send(Event::Polled(vm, observation)).await;
         });
     }
 
-    /// Fences an endpoint.
+    /// Makes an endpoint refuse orders with a lower number than `number`.
     pub fn fence(&self, vm: VmName, address: String, number: Offset) {
         let this = self.clone();
         self.runtime.spawn(async move {
@@ -128,7 +131,7 @@
         });
     }
 
-    /// Sends an order.
+    /// Sends an order to its endpoint.
     pub fn send(&self, order: Order) {
         let this = self.clone();
         self.runtime.spawn(async move {
@@ -138,7 +141,7 @@
         });
     }
 
-    /// Tells a peer what was heard.
+    /// Sends a gossip message to a peer.
     pub fn gossip(&self, address: String, digest: Digest) {
         let this = self.clone();
         self.runtime.spawn(async move {
@@ -153,7 +156,7 @@
         });
     }
 
-    /// Asks a peer for its state.
+    /// Requests a peer's state.
     pub fn request_state(&self, address: String) {
         let this = self.clone();
         self.runtime.spawn(async move {
