--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: it owns all state, takes in events and gives out calls.
+//! The control loop: owns all state of the controller, handles events and issues calls.
 
 use crate::event::Event;
 use crate::gossip::Gossip;
@@ -28,21 +28,21 @@
 const APPEND_RETRY_DELAY: Duration = Duration::from_millis(500);
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What an append that is under way keeps the driver waiting for.
+/// What the driver has to wait for before it decides again, because of an append in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Waiting {
-    /// Nothing: the driver may decide.
+    /// No append is in flight: the driver may decide.
     Nothing,
-    /// The append's answer.
+    /// The answer to the append.
     Answer,
-    /// The log has to be read up to this offset.
+    /// The log has to be read past this offset.
     Read(Offset),
-    /// The append's fate isn't known: the log has to be read to its end by a read that began after
-    /// this time.
+    /// The result of the append is unknown, so the append may have taken effect: the log has to be read
+    /// to its end by a read that began at or after this time.
     End(Instant),
 }
 
-/// All state of a controller.
+/// The state of a controller.
 #[derive(Debug)]
 pub struct Control {
     settings: ControllerSettings,
@@ -60,18 +60,18 @@
     next_append: Instant,
     next_gossip: Instant,
     next_load_poll: Instant,
-    /// Whether the log was read to its end, or a peer's state was taken over.
+    /// Whether the log was read to its end or a peer's state was installed.
     caught_up: bool,
     log_failing: bool,
     was_holder: bool,
-    /// The next offset when the fleet's gauges were last set.
+    /// The next offset at the time of the last update of the fleet's gauges.
     gauges_offset: Offset,
-    /// The offset at which the last snapshot of this process was appended.
+    /// The next offset when this process last appended a snapshot.
     snapshot_at: Offset,
 }
 
 impl Control {
-    /// Makes the state of a controller that starts now.
+    /// Creates the state of a controller that starts now.
     #[must_use]
     pub fn new(
         settings: ControllerSettings,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Runs until told to stop.
+    /// Handles events until [`Event::Stop`] arrives or the channel closes.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -148,7 +148,7 @@
             Event::Fenced(vm, number, agreed) => self.driver.on_fenced(now, &vm, number, agreed),
             Event::Sent(order, res) => self.driver.on_send_result(now, order, res),
             Event::Appended(Ok(last)) => {
-                // The log may have been read up to there before the answer came.
+                // The log may have been read past this offset before the answer arrived.
                 let read = self.replay.fleet().next_offset() > last;
                 self.waiting = if read {
                     Waiting::Nothing
@@ -161,7 +161,7 @@
                 self.next_append = now + APPEND_RETRY_DELAY;
             }
             Event::PeerRequest(req, reply) => {
-                // A peer that no longer waits for its reply needs none.
+                // The send fails if the peer no longer waits for the reply.
                 let _gone = reply.send(self.answer(now, req));
             }
             Event::GossipReply(digest) => self.gossip.on_digest(now, digest),
@@ -177,7 +177,7 @@
         let Some(batch) = batch else {
             self.metrics.log_failures.inc();
             if !self.log_failing {
-                tracing::warn!("the log can't be read; what is in force stays in force");
+                tracing::warn!("the log can't be read; the configuration in force stays in force");
             }
             self.log_failing = true;
             return;
@@ -219,7 +219,7 @@
         let Some((next, fleet)) = state else { return };
         let applied = self.replay.install_snapshot_and_replay(next, *fleet);
         self.count_void_records(applied);
-        // The state counts as complete only if no live peer is known to be further.
+        // The state counts as complete only if no live peer is known to have a higher offset.
         let highest = self.gossip.members.highest_next(now);
         self.caught_up |= !self.replay.has_gap() && self.replay.fleet().next_offset() >= highest;
     }
@@ -234,9 +234,9 @@
                 let digest = self.gossip.digest(now, &[]);
                 self.io.gossip(peer, digest);
             }
-            for (vm, model, rate, said) in self.gossip.unmet() {
+            for (vm, model, rate, reported_at) in self.gossip.unmet() {
                 self.driver
-                    .on_unmet_demand(said, vm.clone(), model.as_str().into(), rate);
+                    .on_unmet_demand(reported_at, vm.clone(), model.as_str().into(), rate);
             }
             self.request_missing_state();
         }
@@ -248,7 +248,7 @@
         self.publish_status();
     }
 
-    /// Asks a peer for the state while the log's beginning is missing or out of reach.
+    /// Requests the state from a peer while the beginning of the log is missing or can't be read.
     fn request_missing_state(&mut self) {
         if self.caught_up && !self.replay.has_gap() {
             return;
@@ -258,7 +258,8 @@
         }
     }
 
-    /// Looks at the endpoints that this controller watches, unless the driver does so anyway.
+    /// Polls the endpoints that this controller watches. The lease holder skips this, as its driver polls
+    /// the endpoints.
     fn poll_watched_endpoints(&mut self, now: Instant) {
         if self.lease.holds_lease(self.replay.fleet()) {
             return;
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Decides what to append and whom to call, unless an append is still in the air.
+    /// Decides which records to append and which calls to issue, unless an append is in flight.
     fn decide(&mut self, now: Instant) {
         if self.waiting != Waiting::Nothing || !self.caught_up || self.replay.has_gap() {
             return;
@@ -314,7 +315,8 @@
         self.io.append(texts);
     }
 
-    /// Gives a snapshot if one is due. The holders of later zones wait longer, so that one appends.
+    /// Returns the encoded snapshot if one is due. Lease holders of zones that come later in order wait for
+    /// more records, so that usually only one holder appends.
     fn snapshot(&mut self) -> Option<String> {
         let fleet = self.replay.fleet();
         if !self.lease.holds_lease(fleet)
@@ -336,9 +338,9 @@
         let next = self.replay.fleet().next_offset();
         match req {
             Request::Gossip(digest) => {
-                let said = digest.heartbeats.clone();
+                let received = digest.heartbeats.clone();
                 self.gossip.on_digest(now, digest);
-                Reply::Gossip(self.gossip.digest(now, &said))
+                Reply::Gossip(self.gossip.digest(now, &received))
             }
             Request::State => {
                 let known = self.caught_up && !self.replay.has_gap() && next > Offset(0);
@@ -352,7 +354,7 @@
         }
     }
 
-    /// Shows in metrics, readiness and logs how things stand.
+    /// Updates metrics and readiness, and logs when this controller takes or loses the lease.
     fn publish_status(&mut self) {
         let fleet = self.replay.fleet();
         let holds = self.lease.holds_lease(fleet);
@@ -383,7 +385,8 @@
         });
     }
 
-    /// Shows the fleet's gauges; goes through the whole fleet, so only when it has changed.
+    /// Updates the gauges of the fleet. Iterates over the whole fleet, so it is called only when the offset
+    /// has changed.
     fn update_fleet_gauges(&self) {
         let fleet = self.replay.fleet();
         let m = &self.metrics;
