--- a/crates/limehollow-controller/src/gossip.rs
+++ b/crates/limehollow-controller/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What a controller has heard of its zone's peers and endpoints, and passes on.
+//! Gossip between the controllers of a zone: liveness of peers, load of endpoints and unmet demand.
 
 use limehollow::demand::DEMAND_REPORT_LIFETIME;
 use limehollow::id::{Incarnation, Offset, VmName, ZoneName};
@@ -12,11 +12,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// How many controllers look at each endpoint for its load.
+/// The number of controllers that poll each endpoint for its load.
 pub const WATCHERS: usize = 2;
-/// The most rows of unmet demand in one message.
+/// The maximum number of unmet demand reports in one message.
 pub const MAX_UNMET: usize = 8;
-/// The most load reports in one message.
+/// The maximum number of load reports in one message.
 pub const MAX_LOADS: usize = 8;
 
 #[derive(Debug)]
@@ -27,25 +27,26 @@
     times_sent: u32,
 }
 
-/// What a controller has heard.
+/// The gossip state of a controller.
 #[derive(Debug)]
 pub struct Gossip {
     zone: ZoneName,
     own_vm: VmName,
-    /// The entry VMs of the zone.
+    /// The liveness of the zone's entry VMs.
     pub members: Membership,
     loads: BTreeMap<VmName, StoredLoad>,
-    /// Entry VMs of the zone on the platform's list, with their peer addresses.
+    /// The zone's other entry VMs on the platform's list, with their peer addresses.
     peers: BTreeMap<VmName, String>,
     seeds: Vec<String>,
     leaving: BTreeSet<VmName>,
-    /// What gateways had to refuse, by VM and model: the rate and when it was said.
+    /// Unmet demand that gateways reported, by VM and model: the rate in thousandths of a request per second
+    /// and the time of the report.
     unmet: BTreeMap<(VmName, SmolStr), (u32, Instant)>,
     rng: StdRng,
 }
 
 impl Gossip {
-    /// Starts with only this VM known.
+    /// Creates the state with this VM as the only known member.
     #[must_use]
     pub fn new(
         now: Instant,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's membership list.
     pub fn on_list(&mut self, rows: &[Listed]) {
         let entries = rows
             .iter()
@@ -84,12 +85,17 @@
             .collect();
     }
 
-    /// Takes in a look at an endpoint.
+    /// Applies an observation of an endpoint.
     pub fn on_observation(&mut self, vm: &VmName, observation: &Observation) {
-        self.merge_load(vm.clone(), observation.incarnation, observation.began, observation.load);
+        self.merge_load(
+            vm.clone(),
+            observation.incarnation,
+            observation.began,
+            observation.load,
+        );
     }
 
-    /// Takes in what a peer has heard.
+    /// Merges a peer's gossip message.
     pub fn on_digest(&mut self, now: Instant, d: Digest) {
         for h in d.heartbeats {
             if let Ok(h) = Heartbeat::try_from(h) {
@@ -104,12 +110,12 @@
             self.merge_load(l.vm.as_str().into(), l.incarnation, observed_at, l.report());
         }
         self.on_unmet(now, d.unmet);
-        // News of leaving endpoints only lasts until the list is next read; then the list counts.
+        // Reports of leaving endpoints hold only until the next read of the list, which replaces them.
         self.leaving
             .extend(d.leaving.iter().map(|s| VmName::from(s.as_str())));
     }
 
-    /// Takes in what a gateway had to refuse; the own gateway's word has no VM.
+    /// Merges reports of unmet demand. The reports of this VM's gateway have an empty VM name.
     pub fn on_unmet(&mut self, now: Instant, reports: Vec<WireUnmet>) {
         for w in reports {
             let vm = if w.vm.is_empty() {
@@ -118,26 +124,38 @@
                 w.vm.as_str().into()
             };
             let age = std::time::Duration::from_millis(u64::from(w.age_ms));
-            let Some(said) = now.checked_sub(age) else {
+            let Some(reported_at) = now.checked_sub(age) else {
                 continue;
             };
-            let row = self.unmet.entry((vm, w.model)).or_insert((w.rate, said));
-            if row.1 < said {
-                *row = (w.rate, said);
+            let row = self
+                .unmet
+                .entry((vm, w.model))
+                .or_insert((w.rate, reported_at));
+            if row.1 < reported_at {
+                *row = (w.rate, reported_at);
             }
         }
     }
 
-    /// Gives what gateways had to refuse lately: VM, model, requests a second, when it was said.
+    /// Returns the recent unmet demand: VM, model, requests per second and the time of the report.
     pub fn unmet(&self) -> impl Iterator<Item = (&VmName, &SmolStr, f64, Instant)> {
-        self.unmet
-            .iter()
-            .map(|((vm, model), (rate, said))| (vm, model, f64::from(*rate) / 1e3, *said))
+        self.unmet.iter().map(|((vm, model), (rate, reported_at))| {
+            (vm, model, f64::from(*rate) / 1e3, *reported_at)
+        })
     }
 
-    fn merge_load(&mut self, vm: VmName, incarnation: Incarnation, observed_at: Instant, r: LoadReport) {
-        let newer = self.loads.get(&vm).is_none_or(|h| h.observed_at < observed_at);
-        if newer {
+    fn merge_load(
+        &mut self,
+        vm: VmName,
+        incarnation: Incarnation,
+        observed_at: Instant,
+        r: LoadReport,
+    ) {
+        let is_newer = self
+            .loads
+            .get(&vm)
+            .is_none_or(|h| h.observed_at < observed_at);
+        if is_newer {
             self.loads.insert(
                 vm,
                 StoredLoad {
@@ -150,19 +168,20 @@
         }
     }
 
-    /// Counts up the heartbeat and forgets old reports.
+    /// Advances the own heartbeat and drops expired reports.
     pub fn tick(&mut self, now: Instant, next: Offset) {
         self.members.tick(now, next);
-        self.unmet
-            .retain(|_, (_, said)| now.duration_since(*said) < DEMAND_REPORT_LIFETIME);
+        self.unmet.retain(|_, (_, reported_at)| {
+            now.duration_since(*reported_at) < DEMAND_REPORT_LIFETIME
+        });
         self.loads
             .retain(|_, h| now.duration_since(h.observed_at) < REPORT_LIFE);
     }
 
-    /// Gives what to tell a peer: the reports that were told least, the youngest first, and what it
-    /// hasn't just said itself.
-    pub fn digest(&mut self, now: Instant, said: &[WireHeartbeat]) -> Digest {
-        let known: Vec<Heartbeat> = said
+    /// Returns the message for a peer. Load reports that were sent least often come first, and the most
+    /// recent first among these. Heartbeats that the peer has just sent (`received`) are left out.
+    pub fn digest(&mut self, now: Instant, received: &[WireHeartbeat]) -> Digest {
+        let known: Vec<Heartbeat> = received
             .iter()
             .filter_map(|h| Heartbeat::try_from(h.clone()).ok())
             .collect();
@@ -184,11 +203,12 @@
         let unmet = rows
             .into_iter()
             .take(MAX_UNMET)
-            .map(|((vm, model), (rate, said))| WireUnmet {
+            .map(|((vm, model), (rate, reported_at))| WireUnmet {
                 vm: vm.as_str().into(),
                 model: model.clone(),
                 rate: *rate,
-                age_ms: u32::try_from(now.duration_since(*said).as_millis()).unwrap_or(u32::MAX),
+                age_ms: u32::try_from(now.duration_since(*reported_at).as_millis())
+                    .unwrap_or(u32::MAX),
             });
         let unmet = unmet.collect();
         Digest {
@@ -199,7 +219,7 @@
         }
     }
 
-    /// Gives what the gateway of this VM wants to know.
+    /// Returns the load and the leaving endpoints for the gateway of this VM.
     #[must_use]
     pub fn news(&self, now: Instant, next: Offset) -> News {
         let loads = self
@@ -215,13 +235,13 @@
         }
     }
 
-    /// Gives the endpoints that are known to leave.
+    /// Returns the endpoints that are known to be leaving.
     #[must_use]
     pub fn leaving(&self) -> &BTreeSet<VmName> {
         &self.leaving
     }
 
-    /// Chooses the peers to speak to now; the seeds while none is known.
+    /// Chooses random peers to send gossip to, from the seeds while no peer is known.
     pub fn choose_peers(&mut self) -> Vec<String> {
         let mut from: Vec<String> = self.peers.values().cloned().collect();
         if from.is_empty() {
@@ -235,7 +255,7 @@
         out
     }
 
-    /// Tells whether this controller is one of the few that look at an endpoint for its load.
+    /// Returns `true` if this controller is one of the [`WATCHERS`] that poll the endpoint for its load.
     #[must_use]
     pub fn watches(&self, now: Instant, endpoint: &VmName) -> bool {
         let alive: Vec<VmName> = self.members.alive(now).map(|h| h.vm.clone()).collect();
