--- a/crates/limehollow-controller/src/metrics.rs
+++ b/crates/limehollow-controller/src/metrics.rs
@@ -4,7 +4,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// The metrics of a controller. Labels are bounded: there are none.
+/// The metrics of a controller. They have no labels, so the number of time series is bounded.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     /// Records read from the log.
@@ -13,34 +13,34 @@
     pub void_records: Counter,
     /// Reads of the log that failed.
     pub log_failures: Counter,
-    /// Records appended, by this process.
+    /// Records that this process appended.
     pub appends: Counter,
     /// Appends that failed or whose answer was lost.
     pub append_failures: Counter,
     /// Orders sent to endpoints.
     pub orders_sent: Counter,
-    /// Looks at endpoints.
+    /// Polls of endpoints; the metric is named `looks`.
     pub polls: Counter,
-    /// Looks that failed.
+    /// Polls that failed; the metric is named `look_failures`.
     pub poll_failures: Counter,
-    /// Messages to peers.
+    /// Gossip messages sent to peers.
     pub gossip_sent: Counter,
-    /// Bytes of those messages.
+    /// Bytes of the gossip messages sent to peers.
     pub gossip_bytes: Counter,
     /// The offset of the next record.
     pub next_offset: Gauge,
-    /// Whether this process holds its zone's lease.
+    /// 1 if this process holds its zone's lease, else 0.
     pub holds_lease: Gauge,
     /// Loads and unloads that took effect, in the whole fleet.
     pub moves: Gauge,
     /// Orders without a known outcome, in the whole fleet.
     pub open_orders: Gauge,
-    /// Models with fewer ready replicas than were asked for, in the whole fleet.
+    /// Models with fewer ready replicas than the intent asks for, in the whole fleet.
     pub short_models: Gauge,
 }
 
 impl Metrics {
-    /// Makes the registry that shows them.
+    /// Returns a registry with all metrics.
     #[must_use]
     pub fn registry(&self) -> Registry {
         let mut r = Registry::with_prefix("limehollow_controller");
@@ -59,16 +59,20 @@
                 &self.append_failures,
             ),
             ("orders_sent", "Orders sent to endpoints", &self.orders_sent),
-            ("looks", "Looks at endpoints", &self.polls),
+            ("looks", "Polls of endpoints", &self.polls),
             (
                 "look_failures",
-                "Looks at endpoints that failed",
+                "Polls of endpoints that failed",
                 &self.poll_failures,
             ),
-            ("gossip_sent", "Messages to peers", &self.gossip_sent),
+            (
+                "gossip_sent",
+                "Gossip messages sent to peers",
+                &self.gossip_sent,
+            ),
             (
                 "gossip_bytes",
-                "Bytes of messages to peers",
+                "Bytes of gossip messages sent to peers",
                 &self.gossip_bytes,
             ),
         ];
