--- a/crates/limehollow-controller/src/settings.rs
+++ b/crates/limehollow-controller/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a controller; see `docs/settings.md`.
+//! The settings of a controller, documented in `docs/settings.md`.
 
 use limehollow::order::Rules;
 use limehollow_edge::settings::{Invalid, Settings, check_address, check_name, check_range};
@@ -13,43 +13,43 @@
 pub struct ControllerSettings {
     /// The name of this entry VM.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of this VM.
     pub availability_zone: String,
-    /// Where peers reach it, as `IP:PORT`.
+    /// The `IP:PORT` at which peers reach this controller.
     pub peer_address: String,
-    /// Where operators reach it, as `IP:PORT`.
+    /// The `IP:PORT` of the admin port.
     pub admin_address: String,
-    /// The platform's services, as `IP:PORT`.
+    /// The `IP:PORT` of the platform's services.
     pub platform_address: String,
-    /// Peers of the zone to ask while the platform's list is out of reach.
+    /// Peers of the zone to contact while the platform's membership list can't be read.
     #[serde(default)]
     pub seed_peers: Vec<String>,
-    /// How long the log keeps records, in milliseconds.
+    /// The retention time of the log's records, in milliseconds.
     pub log_retention_ms: u64,
-    /// Times and counts.
+    /// Timeouts, intervals and limits.
     #[serde(default)]
     pub rules: RuleSettings,
 }
 
-/// The times and counts that a controller goes by.
+/// The timeouts, intervals and limits of a controller. Fields that end in `_ms` are in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RuleSettings {
-    /// By how much an endpoint's report may be out of date.
+    /// The longest time by which an endpoint's report may be out of date.
     pub report_lag_ms: u64,
-    /// How long an accepted order may show no effect before it counts as in doubt.
+    /// The time after which an accepted order without a visible effect has an unknown outcome.
     pub effect_patience_ms: u64,
-    /// How long an endpoint may fail to answer before it counts as gone.
+    /// The time without an answer after which an endpoint counts as gone.
     pub dead_after_ms: u64,
-    /// How long a lost replica is waited for before another place is found for it.
+    /// The time to wait for a lost replica to come back before it is placed elsewhere.
     pub repair_after_ms: u64,
-    /// How long a plan waits for endpoints that are listed but weren't seen.
+    /// The time that a plan waits for endpoints that are listed but haven't been observed.
     pub plan_patience_ms: u64,
-    /// How often an endpoint is looked at.
+    /// The interval between polls of an endpoint.
     pub look_every_ms: u64,
-    /// How many loads a zone has under way at once.
+    /// The maximum number of concurrent loads in a zone.
     pub max_loads: u64,
-    /// How long the holder of the lease may be silent.
+    /// The time without a sign of life after which the holder of the lease may be replaced.
     pub lease_ttl_ms: u64,
 }
 
