--- a/crates/limehollow-edge/src/lib.rs
+++ b/crates/limehollow-edge/src/lib.rs
@@ -1,8 +1,8 @@
-//! What every limehollow process needs at its edges.
+//! Input and output shared by all limehollow processes.
 //!
-//! Clients of the platform's services and of endpoints, the socket between our own processes,
-//! settings, the command line, logs and the administration port. Decisions are in [`limehollow`];
-//! nothing here decides.
+//! Clients of the platform's services and of endpoints, the socket between limehollow's processes,
+//! settings, the command line, logs and the admin port. This crate makes no scheduling decisions; those
+//! are in [`limehollow`].
 //!
 //! ```no_run
 //! use limehollow_edge::log::{HttpLog, LogService};
