--- a/crates/limehollow-edge/src/admin.rs
+++ b/crates/limehollow-edge/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration port: `/healthz`, `/readyz`, `/metrics` and `/dump`.
+//! The HTTP admin port: `/healthz`, `/readyz`, `/metrics` and `/dump`.
 
 use crate::error::{ListenSnafu, Result};
 use poem::http::StatusCode;
@@ -12,34 +12,34 @@
 
 const DUMP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks the thread of the control state for all that it knows.
+/// A request to the control thread for a dump of its state; the dump is sent through the channel.
 pub type DumpRequest = oneshot::Sender<serde_json::Value>;
 
-/// Whether this process should get traffic.
+/// Whether this process should receive traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It should.
+    /// The process is ready.
     Ready,
-    /// It should not, and why.
+    /// The process isn't ready, for this reason.
     Not(String),
 }
 
-/// What the port shows.
+/// The data that the admin port serves.
 #[derive(Clone, Debug)]
 pub struct Admin {
-    /// The metrics.
+    /// The metrics that `/metrics` returns.
     pub registry: Arc<Registry>,
-    /// Whether the process is ready.
+    /// The readiness that `/readyz` returns.
     pub ready: watch::Receiver<Readiness>,
-    /// Where dumps are asked for.
+    /// The channel for dump requests.
     pub dumps: mpsc::Sender<DumpRequest>,
 }
 
-/// Serves the port until the signal, with further routes of the process's own.
+/// Serves the admin port, with `more` as additional routes, until `signal` completes.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Listen`] if the address can't be listened on.
+/// Returns [`crate::Error::Listen`] if the address can't be listened on.
 pub async fn serve<S>(address: &str, admin: Admin, more: Route, signal: S) -> Result<()>
 where
     S: Future<Output = ()>,
@@ -83,7 +83,7 @@
 #[handler]
 fn metrics(Data(admin): Data<&Admin>) -> Response {
     let mut text = String::new();
-    // Writing to a string doesn't fail.
+    // Writing to a string can't fail.
     let _ok = prometheus_client::encoding::text::encode(&mut text, &admin.registry);
     let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     Response::builder().content_type(kind).body(text)
