--- a/crates/limehollow-edge/src/args.rs
+++ b/crates/limehollow-edge/src/args.rs
@@ -1,45 +1,45 @@
-//! The command line that all daemons share.
+//! The command line options that all daemons share.
 
 use crate::error::{Exit, Result, UsageSnafu};
 use crate::logs::Format;
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-/// What a daemon says of itself.
+/// The name, version and description of a daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Its name.
+    /// The program's name.
     pub name: &'static str,
-    /// Its version.
+    /// The program's version.
     pub version: &'static str,
-    /// What it is, in one sentence.
+    /// A description of the program in one sentence.
     pub about: &'static str,
 }
 
-/// How a daemon was started.
+/// The command line arguments of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Args {
-    /// The settings file.
+    /// The path of the settings file.
     pub settings: PathBuf,
-    /// Whether only the settings are to be checked.
+    /// Whether to check the settings and exit.
     pub check: bool,
-    /// How logs are written.
+    /// The format of log lines.
     pub log_format: Format,
-    /// What is logged: a level, or directives as `tracing` has them.
+    /// The log filter: a level, or directives in the syntax of `tracing_subscriber`'s `EnvFilter`.
     pub log_level: String,
 }
 
-/// What is to be done with a command line.
+/// The result of parsing a command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parsed {
-    /// Run.
+    /// Run the daemon with these arguments.
     Run(Args),
-    /// Print this and end.
+    /// Print this text and exit.
     Print(String),
 }
 
 impl Program {
-    /// Gives the text of `--help`.
+    /// Returns the text of `--help`.
     #[must_use]
     pub fn help(&self) -> String {
         format!(
@@ -59,11 +59,11 @@
         )
     }
 
-    /// Reads a command line, without the program's own name.
+    /// Parses a command line, given without the program's name.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Usage`] says what is wrong.
+    /// Returns [`crate::Error::Usage`], which names what is wrong.
     pub fn parse<I>(&self, args: I) -> Result<Parsed>
     where
         I: IntoIterator<Item = OsString>,
@@ -81,8 +81,8 @@
                 }
                 Short('c') | Long("check") => check = true,
                 Long("log-format") => {
-                    let word = parser.value().map_err(usage)?.string().map_err(usage)?;
-                    log_format = Format::parse(&word)?;
+                    let value = parser.value().map_err(usage)?.string().map_err(usage)?;
+                    log_format = Format::parse(&value)?;
                 }
                 Long("log-level") => {
                     log_level = parser.value().map_err(usage)?.string().map_err(usage)?;
@@ -108,11 +108,12 @@
         }))
     }
 
-    /// Reads this process's command line; prints and gives the exit code where it ends there.
+    /// Parses the command line of this process. Prints the help, version or error text if the process
+    /// must exit.
     ///
     /// # Errors
     ///
-    /// The exit code to end with.
+    /// Returns the exit code if the process must exit.
     pub fn parse_or_exit(&self) -> Result<Args, Exit> {
         match self.parse(std::env::args_os().skip(1)) {
             Ok(Parsed::Run(args)) => Ok(args),
@@ -130,7 +131,7 @@
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "it is used as a function in map_err"
+    reason = "the signature is the one that map_err requires"
 )]
 fn usage(e: lexopt::Error) -> crate::Error {
     UsageSnafu { why: e.to_string() }.build()
