--- a/crates/limehollow-edge/src/engine.rs
+++ b/crates/limehollow-edge/src/engine.rs
@@ -1,4 +1,4 @@
-//! Endpoints, as a controller talks to them.
+//! The client with which a controller polls, fences and sends orders to endpoints.
 
 use crate::error::{Error, Result};
 use crate::http::{client, json};
@@ -8,27 +8,27 @@
 use limehollow_wire::engine::{Fence, Fenced, State, WireOrder};
 use tokio::time::Instant;
 
-/// Endpoints over HTTP.
+/// A client of endpoints over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpEndpoints {
     client: reqwest::Client,
 }
 
 impl HttpEndpoints {
-    /// Makes a client.
+    /// Creates a client.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Call`] if the library can't start.
+    /// Returns [`crate::Error::Call`] if the HTTP client can't be created.
     pub fn new() -> Result<Self> {
         Ok(Self { client: client()? })
     }
 
-    /// Looks at an endpoint.
+    /// Reads an endpoint's state.
     ///
     /// # Errors
     ///
-    /// If it does not answer, or not as it should.
+    /// Returns an error if the endpoint doesn't answer, answers with a failure or the answer is malformed.
     pub async fn poll(&self, endpoint: &VmName, address: &str) -> Result<Observation> {
         let began = Instant::now();
         let req = self.client.get(format!("http://{address}/state"));
@@ -36,18 +36,18 @@
         Ok(state.into_look(endpoint, began))
     }
 
-    /// Tells an endpoint to refuse orders with a lower number.
+    /// Makes an endpoint refuse orders with a lower number than `number`.
     ///
     /// # Errors
     ///
-    /// If it does not answer, or has been told a higher number.
+    /// Returns an error if the endpoint doesn't answer or has received a higher number.
     pub async fn fence(&self, address: &str, number: Offset) -> Result<Incarnation> {
         let req = self.client.post(format!("http://{address}/fence"));
         let fenced: Fenced = json("fence", req.json(&Fence { number: number.0 })).await?;
         Ok(fenced.incarnation)
     }
 
-    /// Sends an order.
+    /// Sends an order to its endpoint.
     pub async fn send(&self, order: &Order) -> SendResult {
         let url = format!("http://{}/orders", order.address);
         let req = self.client.post(url).json(&WireOrder::from(order));
