--- a/crates/limehollow-edge/src/error.rs
+++ b/crates/limehollow-edge/src/error.rs
@@ -1,37 +1,37 @@
-//! What can go wrong at the edges, and the exit codes.
+//! The errors of this crate and the exit codes of all programs.
 
 use snafu::Snafu;
 use std::process::ExitCode;
 
-/// What an edge gives.
+/// The result type of this crate.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why something at an edge failed.
+/// An error of input, output or configuration.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{why}; see --help"))]
     Usage {
-        /// What is wrong.
+        /// What is wrong with the command line.
         why: String,
     },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[snafu(display("{file}:{line}: {why}"))]
     Settings {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The line, from 1.
+        /// The line number, counted from 1.
         line: usize,
-        /// The key and what would be valid.
+        /// The key and what is wrong with its value.
         why: String,
     },
     /// A file can't be read.
     #[snafu(display("{file}: {source}"))]
     File {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// An address can't be listened on.
@@ -39,55 +39,55 @@
     Listen {
         /// The address.
         address: String,
-        /// Why.
+        /// The reason of the failure.
         why: String,
     },
-    /// The other side could not be reached: no byte left.
+    /// The connection failed, so no byte of the request was sent.
     #[snafu(display("{what}: no connection: {source}"))]
     Connect {
-        /// What was called.
+        /// The kind of call.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: reqwest::Error,
     },
-    /// The call failed after it may have taken effect.
+    /// The call failed and may have taken effect.
     #[snafu(display("{what}: {source}"))]
     Call {
-        /// What was called.
+        /// The kind of call.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: reqwest::Error,
     },
-    /// The other side answered with a status that isn't a success.
+    /// The service answered with a status code other than success.
     #[snafu(display("{what}: status {status}: {body}"))]
     Status {
-        /// What was called.
+        /// The kind of call.
         what: &'static str,
         /// The status code.
         status: u16,
         /// The beginning of the body.
         body: String,
     },
-    /// A peer did not answer, or not as it should.
+    /// A peer didn't answer or its answer was invalid.
     #[snafu(display("peer {address}: {why}"))]
     Peer {
-        /// The peer.
+        /// The address of the peer.
         address: String,
-        /// Why.
+        /// The reason of the failure.
         why: String,
     },
-    /// A message can't be read.
+    /// A message can't be decoded.
     #[snafu(display("{what}: {source}"))]
     Codec {
-        /// What was read.
+        /// The kind of message.
         what: &'static str,
-        /// Why.
+        /// The cause.
         source: limehollow_wire::Error,
     },
 }
 
 impl Error {
-    /// Tells whether the call surely had no effect.
+    /// Returns `true` if the call certainly had no effect.
     #[must_use]
     pub fn had_no_effect(&self) -> bool {
         !matches!(
@@ -100,13 +100,13 @@
 /// The exit codes of all programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what it was asked.
+    /// The program succeeded.
     Ok,
-    /// It could not do it.
+    /// The program failed.
     Failed,
-    /// The command line or a settings file is wrong.
+    /// The command line or a settings file is invalid.
     Usage,
-    /// It was asked for something that is refused, overtaken or not there.
+    /// The request was refused, was superseded or named something that doesn't exist.
     Refused,
 }
 
