--- a/crates/limehollow-edge/src/follow.rs
+++ b/crates/limehollow-edge/src/follow.rs
@@ -1,4 +1,4 @@
-//! Reads the control stream of the log.
+//! Reads the control stream of the platform's log.
 
 use crate::error::{CodecSnafu, Result};
 use crate::log::LogService;
@@ -11,28 +11,29 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
 
-/// The most records in one read.
+/// The maximum number of records in one read.
 pub const READ_LIMIT: u32 = 512;
 const LONG_POLL: Duration = Duration::from_secs(2);
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A part of the log.
+/// A batch of consecutive log entries.
 #[derive(Debug)]
 pub struct Batch {
-    /// When the read began: all that was appended before then and below `end` is in or before it.
+    /// When the read began. If the batch reaches `end`, it and the batches before it contain every record
+    /// that was appended before this time.
     pub began: Instant,
-    /// The offset that the next append will get.
+    /// The offset of the next record to be appended.
     pub end: Offset,
-    /// The entries.
+    /// The entries, in the order of their offsets.
     pub entries: Vec<Entry>,
 }
 
-/// Reads entries of the control stream from an offset on.
+/// Reads entries of the control stream, starting at offset `from`.
 ///
 /// # Errors
 ///
-/// If the log can't be reached or refuses.
+/// Returns an error if the log can't be reached or rejects the request.
 pub async fn read<L>(log: &L, from: Offset, wait: Duration) -> Result<Batch>
 where
     L: LogService,
@@ -47,15 +48,16 @@
     })
 }
 
-/// Reads the control stream for ever and passes on each batch, or nothing for a failed read.
+/// Reads the control stream in a loop and sends each batch to `tx`, or `None` for a failed read.
 ///
-/// Ends when nobody takes the batches any more.
+/// Returns when the receiver is dropped.
 pub async fn tail<L>(log: L, mut from: Offset, tx: mpsc::Sender<Option<Batch>>)
 where
     L: LogService,
 {
-    let mut pause = FIRST_PAUSE;
-    // Until the end was reached there is nothing to wait for, and a process that starts waits for this.
+    let mut retry_delay = MIN_RETRY_DELAY;
+    // Long polling starts only at the end of the log: until then every read has records to return, and a
+    // starting process waits for them.
     let mut wait = Duration::ZERO;
     loop {
         let batch = read(&log, from, wait).await.ok();
@@ -69,16 +71,16 @@
             return;
         }
         if failed {
-            sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            sleep(retry_delay).await;
+            retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
         } else {
-            pause = FIRST_PAUSE;
+            retry_delay = MIN_RETRY_DELAY;
         }
     }
 }
 
-/// Turns a record of the log into an entry. Text that is no record counts as unknown: one bad append
-/// must not stop every reader.
+/// Converts a record of the log into an entry. Text that can't be decoded becomes
+/// [`Content::Unknown`], as one malformed append must not stop all readers.
 #[must_use]
 pub fn entry(r: &LogRecord) -> Entry {
     let content = decode(&r.data).unwrap_or(Content::Unknown);
@@ -89,11 +91,12 @@
     }
 }
 
-/// Reads the text of a snapshot that a peer gave.
+/// Decodes the text of a snapshot that a peer sent. Returns `None` if the text is a record of another
+/// kind.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Codec`] if it is none.
+/// Returns [`crate::Error::Codec`] if the text can't be decoded.
 pub fn snapshot(text: &str) -> Result<Option<(Offset, limehollow::fleet::Fleet)>> {
     match decode(text).context(CodecSnafu { what: "snapshot" })? {
         Content::Snapshot { next, fleet } => Ok(Some((next, *fleet))),
