--- a/crates/limehollow-edge/src/http.rs
+++ b/crates/limehollow-edge/src/http.rs
@@ -1,23 +1,23 @@
-//! How processes call HTTP services.
+//! Calls to HTTP services: the shared client, timeouts and the classification of errors.
 
 use crate::error::{CallSnafu, ConnectSnafu, Error, Result, StatusSnafu};
 use serde::de::DeserializeOwned;
 use snafu::IntoError;
 use std::time::Duration;
 
-/// How long a connection may take.
+/// The timeout for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a short call may take.
+/// The timeout for a short call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_ERROR_BODY: usize = 200;
 
-/// Makes a client for short calls.
+/// Creates an HTTP client for short calls.
 ///
 /// # Errors
 ///
-/// [`Error::Call`] if the library can't start.
+/// Returns [`Error::Call`] if the HTTP client can't be created.
 pub fn client() -> Result<reqwest::Client> {
-    // The addresses are IP numbers of our own network: a proxy from the environment is never meant.
+    // All addresses are IP addresses of the own network, so proxies from the environment must not be used.
     let builder = reqwest::Client::builder()
         .no_proxy()
         .connect_timeout(CONNECT_TIMEOUT)
@@ -28,12 +28,12 @@
         .map_err(|e| CallSnafu { what: "client" }.into_error(e))
 }
 
-/// Sends a call and reads its JSON answer.
+/// Sends a request and decodes the JSON body of the answer.
 ///
 /// # Errors
 ///
-/// [`Error::Connect`] if no byte left, [`Error::Call`] if the answer was lost, [`Error::Status`] for
-/// an answer that isn't a success.
+/// Returns [`Error::Connect`] if the connection failed, [`Error::Call`] if the answer was lost or can't
+/// be decoded, [`Error::Status`] if the status code isn't a success.
 pub async fn json<T>(what: &'static str, req: reqwest::RequestBuilder) -> Result<T>
 where
     T: DeserializeOwned,
@@ -55,7 +55,8 @@
         .map_err(|e| CallSnafu { what }.into_error(e))
 }
 
-/// Tells a failure to connect from one after which the call may have taken effect.
+/// Converts an error of `reqwest`, distinguishing a failure to connect from a failure after which the
+/// call may have taken effect.
 #[must_use]
 pub fn classify(what: &'static str, e: reqwest::Error) -> Error {
     if e.is_connect() {
