--- a/crates/limehollow-edge/src/log.rs
+++ b/crates/limehollow-edge/src/log.rs
@@ -1,29 +1,30 @@
-//! The platform's append-only log.
+//! The client of the platform's append-only log.
 
 use crate::error::Result;
 use crate::http::{CALL_TIMEOUT, client, json};
 use limehollow_wire::platform::{Append, Appended, Records};
 use std::time::Duration;
 
-/// An append-only log with offsets. It may be down, slow, or lose the answer to an append that took
-/// effect.
+/// An append-only log with offsets.
+///
+/// The service may be down or slow, or may lose the answer to an append that took effect.
 pub trait LogService: Send + Sync {
-    /// Appends records together and gives the offset of the first.
+    /// Appends records in one call and returns the offset of the first.
     ///
     /// # Errors
     ///
-    /// After an error the append may still have taken effect; only reading on tells.
+    /// After an error the append may still have taken effect. Only reading the log shows whether it did.
     fn append(
         &self,
         stream: &str,
         records: Vec<String>,
     ) -> impl Future<Output = Result<u64>> + Send;
 
-    /// Reads records from an offset on, waiting up to `wait` for the first one.
+    /// Reads records starting at offset `from`, waiting up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// If the service can't be reached or refuses.
+    /// Returns an error if the service can't be reached or rejects the request.
     fn read(
         &self,
         stream: &str,
@@ -33,7 +34,7 @@
     ) -> impl Future<Output = Result<Records>> + Send;
 }
 
-/// The log over HTTP.
+/// A client of the log over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpLog {
     client: reqwest::Client,
@@ -41,11 +42,11 @@
 }
 
 impl HttpLog {
-    /// Makes a client of the service at `IP:PORT`.
+    /// Creates a client of the service at `IP:PORT`.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Call`] if the library can't start.
+    /// Returns [`crate::Error::Call`] if the HTTP client can't be created.
     pub fn new(address: &str) -> Result<Self> {
         Ok(Self {
             client: client()?,
