--- a/crates/limehollow-edge/src/logs.rs
+++ b/crates/limehollow-edge/src/logs.rs
@@ -1,25 +1,25 @@
-//! Logs: lines for changes of state only; what happens often is counted in metrics.
+//! Log setup. Log lines report changes of state only; frequent events are counted in metrics.
 
 use crate::error::{Result, UsageSnafu};
 use std::io::IsTerminal;
 use tracing_subscriber::EnvFilter;
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
 }
 
 impl Format {
-    /// Reads the word of the command line.
+    /// Parses the value of `--log-format`.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Usage`] names the words that are valid.
+    /// Returns [`crate::Error::Usage`], which names the valid values.
     pub fn parse(s: &str) -> Result<Self> {
         match s {
             "json" => Ok(Self::Json),
@@ -32,13 +32,13 @@
     }
 }
 
-/// Starts the logs of this process, on standard error.
+/// Installs the log subscriber of this process, which writes to standard error.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Usage`] if the level can't be read.
+/// Returns [`crate::Error::Usage`] if the level can't be parsed.
 pub fn start(format: Format, level: &str) -> Result<()> {
-    // The HTTP library says each start and stop of a listener; those aren't our changes of state.
+    // poem logs each start and stop of a listener at the info level; these aren't changes of state.
     let filter = EnvFilter::try_new(format!("poem=warn,{level}")).map_err(|e| {
         UsageSnafu {
             why: format!("--log-level: {e}"),
@@ -49,7 +49,7 @@
         .with_env_filter(filter)
         .with_ansi(std::io::stderr().is_terminal())
         .with_writer(std::io::stderr);
-    // A second start in one process changes nothing, which is what tests need.
+    // Tests call this several times in one process; all calls but the first have no effect.
     let _already = match format {
         Format::Json => builder.json().try_init(),
         Format::Text => builder.try_init(),
