--- a/crates/limehollow-edge/src/members.rs
+++ b/crates/limehollow-edge/src/members.rs
@@ -1,32 +1,32 @@
-//! The platform's membership list.
+//! The client of the platform's membership list.
 
 use crate::error::Result;
 use crate::http::{client, json};
 use limehollow::listing::Listed;
 use limehollow_wire::platform::Members;
 
-/// The membership list over HTTP.
+/// A client of the membership list over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpMembers {
     client: reqwest::Client,
     url: String,
 }
 
-/// The rows that could be read, and how many could not.
+/// The membership list: the rows that could be parsed and the number of those that couldn't.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// The rows.
+    /// The rows that could be parsed.
     pub rows: Vec<Listed>,
-    /// How many rows were left out because they made no sense.
+    /// The number of rows that were left out because they couldn't be parsed.
     pub unreadable: usize,
 }
 
 impl HttpMembers {
-    /// Makes a client of the service at `IP:PORT`.
+    /// Creates a client of the service at `IP:PORT`.
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Call`] if the library can't start.
+    /// Returns [`crate::Error::Call`] if the HTTP client can't be created.
     pub fn new(address: &str) -> Result<Self> {
         Ok(Self {
             client: client()?,
@@ -34,11 +34,11 @@
         })
     }
 
-    /// Reads the list.
+    /// Reads the membership list.
     ///
     /// # Errors
     ///
-    /// If the service can't be reached or refuses.
+    /// Returns an error if the service can't be reached or rejects the request.
     pub async fn list(&self) -> Result<Listing> {
         let members: Members = json("membership list", self.client.get(&self.url)).await?;
         let all = members.members.len();
