--- a/crates/limehollow-edge/src/peer.rs
+++ b/crates/limehollow-edge/src/peer.rs
@@ -1,4 +1,4 @@
-//! The socket between limehollow's own processes: request and reply over `nng`.
+//! The socket between limehollow's processes: requests and replies over `nng`.
 
 use crate::error::{ListenSnafu, PeerSnafu, Result};
 use anng::protocols::reqrep0::{Rep0, Req0};
@@ -8,15 +8,15 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// The longest message that is read, in bytes.
+/// The maximum size of a request that is accepted, in bytes.
 pub const MAX_MESSAGE: usize = 64 << 20;
-const PARALLEL: usize = 4;
+const WORKERS: usize = 4;
 
-/// Answers requests at `IP:PORT` for as long as it is polled.
+/// Answers requests at `IP:PORT` for as long as the future is polled.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Listen`] if the address can't be listened on.
+/// Returns [`crate::Error::Listen`] if the address can't be listened on.
 pub async fn serve<F, R>(address: &str, handle: F) -> Result<()>
 where
     F: Fn(Request) -> R + Send + Sync,
@@ -30,7 +30,7 @@
         }
         .build()
     })?;
-    let loops: [_; PARALLEL] = std::array::from_fn(|_| answer(&socket, &handle));
+    let loops: [_; WORKERS] = std::array::from_fn(|_| answer(&socket, &handle));
     let [a, b, c, d] = loops;
     tokio::join!(a, b, c, d);
     Ok(())
@@ -44,7 +44,7 @@
     let mut cx = socket.context();
     loop {
         let Ok((msg, responder)) = cx.receive().await else {
-            // A broken receive must not turn into a busy loop.
+            // Avoids a busy loop while receiving fails.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -55,13 +55,13 @@
             continue;
         };
         if let Some(reply) = handle(req).await {
-            // A peer that is gone needs no answer.
+            // The send fails if the peer is gone.
             let _gone = responder.reply(message(&encode(&reply))).await;
         }
     }
 }
 
-/// A client of one peer; it dials again after any failure.
+/// A client of one peer, which reconnects after any failure.
 pub struct PeerClient {
     address: String,
     socket: Option<Socket<Req0>>,
@@ -76,7 +76,7 @@
 }
 
 impl PeerClient {
-    /// Makes a client of the peer at `IP:PORT`; it dials at the first request.
+    /// Creates a client of the peer at `IP:PORT`, which connects at the first request.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -89,11 +89,11 @@
     ///
     /// # Errors
     ///
-    /// [`crate::Error::Peer`] if there is no reply within the time, or none that can be read.
-    pub async fn request(&mut self, req: &Request, within: Duration) -> Result<Reply> {
-        let res = match tokio::time::timeout(within, self.try_request(req)).await {
+    /// Returns [`crate::Error::Peer`] if no reply arrives within the timeout or the reply can't be decoded.
+    pub async fn request(&mut self, req: &Request, timeout: Duration) -> Result<Reply> {
+        let res = match tokio::time::timeout(timeout, self.try_request(req)).await {
             Ok(res) => res,
-            Err(_) => Err(format!("no reply within {} ms", within.as_millis())),
+            Err(_) => Err(format!("no reply within {} ms", timeout.as_millis())),
         };
         if res.is_err() {
             self.socket = None;
@@ -135,7 +135,7 @@
 
 fn message(buf: &[u8]) -> Message {
     let mut msg = Message::with_capacity(buf.len());
-    // Writing to a message only fails when there is no memory left.
-    msg.write_all(buf).expect("a message grows");
+    // Writing to a message fails only if memory can't be allocated.
+    msg.write_all(buf).expect("memory for a message");
     msg
 }
