--- a/crates/limehollow-edge/src/process.rs
+++ b/crates/limehollow-edge/src/process.rs
@@ -1,4 +1,4 @@
-//! What all daemons do when they start and stop.
+//! The start and stop of daemons.
 
 use crate::args::{Args, Program};
 use crate::error::{Exit, Result};
@@ -8,11 +8,11 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Reads the command line and the settings, and starts the logs.
+/// Parses the command line, starts the logs and reads the settings.
 ///
 /// # Errors
 ///
-/// The exit code to end with; the reason has been printed.
+/// Returns the exit code if the process must exit; the reason has been printed.
 fn start<S>(program: &Program) -> Result<(Args, S), Exit>
 where
     S: Settings,
@@ -30,7 +30,7 @@
     Ok((args, settings))
 }
 
-/// Starts a daemon, runs it, and gives the exit code.
+/// Reads the settings, runs a daemon with them and returns the exit code.
 pub fn daemon<S, F>(program: &Program, run: F) -> ExitCode
 where
     S: Settings,
@@ -49,10 +49,10 @@
     }
 }
 
-/// Gives the incarnation of a process that starts now.
+/// Returns the incarnation of a process that starts now.
 ///
-/// It only has to differ from, and be above, that of an earlier life on the same VM, so the wall
-/// clock will do.
+/// The wall clock is sufficient, as an incarnation only has to be greater than those of earlier processes
+/// on the same VM.
 #[must_use]
 pub fn incarnation() -> u64 {
     let since = SystemTime::now()
@@ -61,14 +61,14 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Waits until this process is told to stop, by SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Panics
 ///
-/// If the process can't listen to signals at all.
+/// Panics if the signal handlers can't be installed.
 pub async fn stop_signal() {
-    let mut term = signal(SignalKind::terminate()).expect("signals can be listened to");
-    let mut int = signal(SignalKind::interrupt()).expect("signals can be listened to");
+    let mut term = signal(SignalKind::terminate()).expect("signal handlers can be installed");
+    let mut int = signal(SignalKind::interrupt()).expect("signal handlers can be installed");
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
