--- a/crates/limehollow-edge/src/settings.rs
+++ b/crates/limehollow-edge/src/settings.rs
@@ -1,21 +1,21 @@
-//! Settings files: TOML, checked before anything starts.
+//! Settings files in TOML, which are checked before the process starts its work.
 
 use crate::error::{FileSnafu, Result, SettingsSnafu};
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
 use std::path::Path;
 
-/// A value that parses but isn't valid.
+/// A setting whose value parses but isn't valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid {
-    /// The key, with the names of its tables and dots.
+    /// The key, preceded by the names of its tables and joined with dots.
     pub key: &'static str,
-    /// What would be valid.
+    /// What a valid value would be.
     pub why: String,
 }
 
 impl Invalid {
-    /// Makes one.
+    /// Creates an error for a key.
     #[must_use]
     pub fn new<S>(key: &'static str, why: S) -> Self
     where
@@ -28,13 +28,13 @@
     }
 }
 
-/// Settings that can check themselves.
+/// Settings that can be read from a file and checked.
 pub trait Settings: DeserializeOwned {
-    /// Checks what the types don't.
+    /// Checks the constraints that the types don't express.
     ///
     /// # Errors
     ///
-    /// The first key whose value isn't valid.
+    /// Returns the first key whose value isn't valid.
     fn check(&self) -> std::result::Result<(), Invalid>;
 }
 
@@ -42,8 +42,8 @@
 ///
 /// # Errors
 ///
-/// [`crate::Error::Settings`] names file, line and key and says what would be valid;
-/// [`crate::Error::File`] if the file can't be read.
+/// Returns [`crate::Error::Settings`], which names the file, the line, the key and what a valid value would
+/// be, or [`crate::Error::File`] if the file can't be read.
 pub fn load<S>(path: &Path) -> Result<S>
 where
     S: Settings,
@@ -53,11 +53,11 @@
     parse(&file, &text)
 }
 
-/// Reads and checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 ///
 /// # Errors
 ///
-/// As [`load`].
+/// Returns [`crate::Error::Settings`] as [`load`] does.
 pub fn parse<S>(file: &str, text: &str) -> Result<S>
 where
     S: Settings,
@@ -84,11 +84,11 @@
     }
 }
 
-/// Checks that a value is an IP number and a port.
+/// Checks that a value is an IP address and a port.
 ///
 /// # Errors
 ///
-/// An [`Invalid`] for the key.
+/// Returns an [`Invalid`] for the key.
 pub fn check_address(key: &'static str, value: &str) -> std::result::Result<(), Invalid> {
     if value.parse::<std::net::SocketAddr>().is_ok() {
         return Ok(());
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// An [`Invalid`] for the key.
+/// Returns an [`Invalid`] for the key.
 pub fn check_range(
     key: &'static str,
     value: u64,
@@ -114,11 +114,11 @@
     Err(Invalid::new(key, why))
 }
 
-/// Checks that a name isn't empty and fits in messages.
+/// Checks that a name isn't empty and isn't longer than messages allow.
 ///
 /// # Errors
 ///
-/// An [`Invalid`] for the key.
+/// Returns an [`Invalid`] for the key.
 pub fn check_name(key: &'static str, value: &str) -> std::result::Result<(), Invalid> {
     if value.is_empty() || value.len() > limehollow_wire::peer::MAX_NAME {
         return Err(Invalid::new(key, "must have 1 to 128 bytes"));
@@ -130,13 +130,14 @@
     text.bytes().take(at).filter(|b| *b == b'\n').count() + 1
 }
 
-/// Gives the key that a line sets.
+/// Returns the key that a line sets.
 fn key_at(text: &str, line: usize) -> Option<&str> {
     let (key, _) = text.lines().nth(line - 1)?.split_once('=')?;
     Some(key.trim())
 }
 
-/// Gives the line of a key, or of its table if the key isn't written down, or the first.
+/// Returns the line of a key, or that of its table if the key is absent, or the first line if the table is
+/// absent too.
 fn find_key(text: &str, key: &str) -> usize {
     let (table, name) = key.rsplit_once('.').unwrap_or(("", key));
     let mut current = "";
