--- a/crates/limehollow-controller/src/control.rs
+++ b/crates/limehollow-controller/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: it owns all state, takes in events and gives out calls.
+//! The control loop: owns all state of the controller, handles events and issues calls.
 
 use crate::event::Event;
 use crate::gossip::Gossip;
@@ -23,26 +23,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, interval};
 
-const TICK: Duration = Duration::from_millis(100);
-const GOSSIP_EVERY: Duration = Duration::from_secs(1);
-const APPEND_PAUSE: Duration = Duration::from_millis(500);
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(500);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What an append that is under way keeps the driver waiting for.
+/// What the driver has to wait for before it decides again, because of an append in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Waiting {
-    /// Nothing: the driver may decide.
+    /// No append is in flight: the driver may decide.
     Nothing,
-    /// The append's answer.
+    /// The answer to the append.
     Answer,
-    /// The log has to be read up to this offset.
+    /// The log has to be read past this offset.
     Read(Offset),
-    /// The append's fate isn't known: the log has to be read to its end by a read that began after
-    /// this time.
+    /// The result of the append is unknown, so the append may have taken effect: the log has to be read
+    /// to its end by a read that began at or after this time.
     End(Instant),
 }
 
-/// All state of a controller.
+/// The state of a controller.
 #[derive(Debug)]
 pub struct Control {
     settings: ControllerSettings,
@@ -59,19 +59,19 @@
     waiting: Waiting,
     next_append: Instant,
     next_gossip: Instant,
-    next_watch: Instant,
-    /// Whether the log was read to its end, or a peer's state was taken over.
+    next_load_poll: Instant,
+    /// Whether the log was read to its end or a peer's state was installed.
     caught_up: bool,
     log_failing: bool,
     was_holder: bool,
-    /// The next offset when the fleet's gauges were last set.
-    shown: Offset,
-    /// The offset at which the last snapshot of this process was appended.
+    /// The next offset at the time of the last update of the fleet's gauges.
+    gauges_offset: Offset,
+    /// The next offset when this process last appended a snapshot.
     snapshot_at: Offset,
 }
 
 impl Control {
-    /// Makes the state of a controller that starts now.
+    /// Creates the state of a controller that starts now.
     #[must_use]
     pub fn new(
         settings: ControllerSettings,
@@ -82,15 +82,15 @@
     ) -> Self {
         let now = Instant::now();
         let zone = ZoneName::from(settings.availability_zone.as_str());
-        let me = VmName::from(settings.name.as_str());
+        let own_vm = VmName::from(settings.name.as_str());
         let rng = StdRng::seed_from_u64(incarnation);
         let seeds = settings.seed_peers.clone();
         let ttl = Duration::from_millis(settings.rules.lease_ttl_ms);
         Self {
-            lease: LeaseWatch::new(zone.clone(), me.clone(), incarnation)
+            lease: LeaseWatch::new(zone.clone(), own_vm.clone(), incarnation)
                 .with_times(ttl, DEFAULT_STAGGER),
-            gossip: Gossip::new(now, zone.clone(), me.clone(), incarnation, seeds, rng),
-            driver: Driver::new(zone.clone(), me, incarnation, settings.rules.into()),
+            gossip: Gossip::new(now, zone.clone(), own_vm.clone(), incarnation, seeds, rng),
+            driver: Driver::new(zone.clone(), own_vm, incarnation, settings.rules.into()),
             settings,
             incarnation,
             zone,
@@ -102,34 +102,34 @@
             waiting: Waiting::Nothing,
             next_append: now,
             next_gossip: now,
-            next_watch: now,
+            next_load_poll: now,
             caught_up: false,
             log_failing: false,
             was_holder: false,
-            shown: Offset(0),
+            gauges_offset: Offset(0),
             snapshot_at: Offset(0),
         }
     }
 
-    /// Runs until told to stop.
+    /// Handles events until [`Event::Stop`] arrives or the channel closes.
     pub async fn run(mut self, mut events: mpsc::Receiver<Event>) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         for seed in self.settings.seed_peers.clone() {
-            self.io.ask_state(seed);
+            self.io.request_state(seed);
         }
         loop {
             tokio::select! {
                 event = events.recv() => match event {
                     None | Some(Event::Stop) => return,
-                    Some(e) => self.take(e),
+                    Some(e) => self.handle_event(e),
                 },
                 _ = ticks.tick() => self.tick(),
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = Instant::now();
         match event {
             Event::Log(batch) => self.on_log(now, batch),
@@ -139,16 +139,16 @@
                 self.driver.on_list(now, listing.rows.clone());
                 self.list = listing.rows;
             }
-            Event::Looked(vm, look) => {
-                if let Some(l) = &look {
-                    self.gossip.on_look(&vm, l);
+            Event::Polled(vm, observation) => {
+                if let Some(o) = &observation {
+                    self.gossip.on_observation(&vm, o);
                 }
-                self.driver.on_observation(now, &vm, look);
+                self.driver.on_observation(now, &vm, observation);
             }
             Event::Fenced(vm, number, agreed) => self.driver.on_fenced(now, &vm, number, agreed),
             Event::Sent(order, res) => self.driver.on_send_result(now, order, res),
             Event::Appended(Ok(last)) => {
-                // The log may have been read up to there before the answer came.
+                // The log may have been read past this offset before the answer arrived.
                 let read = self.replay.fleet().next_offset() > last;
                 self.waiting = if read {
                     Waiting::Nothing
@@ -158,13 +158,13 @@
             }
             Event::Appended(Err(at)) => {
                 self.waiting = Waiting::End(at);
-                self.next_append = now + APPEND_PAUSE;
+                self.next_append = now + APPEND_RETRY_DELAY;
             }
-            Event::Asked(req, reply) => {
-                // A peer that no longer waits for its reply needs none.
+            Event::PeerRequest(req, reply) => {
+                // The send fails if the peer no longer waits for the reply.
                 let _gone = reply.send(self.answer(now, req));
             }
-            Event::Heard(digest) => self.gossip.on_digest(now, digest),
+            Event::GossipReply(digest) => self.gossip.on_digest(now, digest),
             Event::PeerState(state) => self.on_peer_state(now, state),
             Event::Dump(reply) => {
                 let _gone = reply.send(self.dump(now));
@@ -177,7 +177,7 @@
         let Some(batch) = batch else {
             self.metrics.log_failures.inc();
             if !self.log_failing {
-                tracing::warn!("the log can't be read; what is in force stays in force");
+                tracing::warn!("the log can't be read; the configuration in force stays in force");
             }
             self.log_failing = true;
             return;
@@ -189,7 +189,7 @@
         for entry in batch.entries {
             self.metrics.records.inc();
             let applied = self.replay.push_entry(entry);
-            self.note(applied);
+            self.count_void_records(applied);
         }
         let next = self.replay.fleet().next_offset();
         let at_end = next >= batch.end && !self.replay.has_gap();
@@ -202,7 +202,7 @@
         self.decide(now);
     }
 
-    fn note(&mut self, applied: Vec<Applied>) {
+    fn count_void_records(&mut self, applied: Vec<Applied>) {
         for (offset, res) in applied {
             if let Err(e) = res {
                 self.metrics.void_records.inc();
@@ -218,8 +218,8 @@
     ) {
         let Some((next, fleet)) = state else { return };
         let applied = self.replay.install_snapshot_and_replay(next, *fleet);
-        self.note(applied);
-        // The state counts as complete only if no live peer is known to be further.
+        self.count_void_records(applied);
+        // The state counts as complete only if no live peer is known to have a higher offset.
         let highest = self.gossip.members.highest_next(now);
         self.caught_up |= !self.replay.has_gap() && self.replay.fleet().next_offset() >= highest;
     }
@@ -228,50 +228,51 @@
         let now = Instant::now();
         let next = self.replay.fleet().next_offset();
         if now >= self.next_gossip {
-            self.next_gossip = now + GOSSIP_EVERY;
+            self.next_gossip = now + GOSSIP_INTERVAL;
             self.gossip.tick(now, next);
             for peer in self.gossip.choose_peers() {
                 let digest = self.gossip.digest(now, &[]);
                 self.io.gossip(peer, digest);
             }
-            for (vm, model, rate, said) in self.gossip.unmet() {
+            for (vm, model, rate, reported_at) in self.gossip.unmet() {
                 self.driver
-                    .on_unmet_demand(said, vm.clone(), model.as_str().into(), rate);
+                    .on_unmet_demand(reported_at, vm.clone(), model.as_str().into(), rate);
             }
-            self.ask_for_state();
+            self.request_missing_state();
         }
-        if now >= self.next_watch {
-            self.next_watch = now + WATCH_EVERY;
-            self.watch_loads(now);
+        if now >= self.next_load_poll {
+            self.next_load_poll = now + LOAD_POLL_INTERVAL;
+            self.poll_watched_endpoints(now);
         }
         self.decide(now);
-        self.show();
+        self.publish_status();
     }
 
-    /// Asks a peer for the state while the log's beginning is missing or out of reach.
-    fn ask_for_state(&mut self) {
+    /// Requests the state from a peer while the beginning of the log is missing or can't be read.
+    fn request_missing_state(&mut self) {
         if self.caught_up && !self.replay.has_gap() {
             return;
         }
         if let Some(peer) = self.gossip.choose_peers().pop() {
-            self.io.ask_state(peer);
+            self.io.request_state(peer);
         }
     }
 
-    /// Looks at the endpoints that this controller watches, unless the driver does so anyway.
-    fn watch_loads(&mut self, now: Instant) {
+    /// Polls the endpoints that this controller watches. The lease holder skips this, as its driver polls
+    /// the endpoints.
+    fn poll_watched_endpoints(&mut self, now: Instant) {
         if self.lease.holds_lease(self.replay.fleet()) {
             return;
         }
         let own = |l: &&Listed| l.zone == self.zone && l.kind != ListedKind::Entry;
         for l in self.list.iter().filter(own) {
             if self.gossip.watches(now, &l.vm) {
-                self.io.look(l.vm.clone(), l.address.to_string());
+                self.io.poll(l.vm.clone(), l.address.to_string());
             }
         }
     }
 
-    /// Decides what to append and whom to call, unless an append is still in the air.
+    /// Decides which records to append and which calls to issue, unless an append is in flight.
     fn decide(&mut self, now: Instant) {
         if self.waiting != Waiting::Nothing || !self.caught_up || self.replay.has_gap() {
             return;
@@ -289,8 +290,8 @@
             self.lease.record_holder_alive(now, fleet);
         }
         let rank = self.gossip.members.rank(now);
-        let take = self.lease.poll(now, fleet, rank);
-        records.extend(take.map(Record::LeaseTaken));
+        let takeover = self.lease.poll(now, fleet, rank);
+        records.extend(takeover.map(Record::LeaseTaken));
         for command in self.driver.step(now, fleet, &self.gossip.members) {
             match command {
                 Command::Append(r) => records.push(r),
@@ -302,7 +303,7 @@
                 } => {
                     self.io.fence(endpoint, address.to_string(), number);
                 }
-                Command::Poll { endpoint, address } => self.io.look(endpoint, address.to_string()),
+                Command::Poll { endpoint, address } => self.io.poll(endpoint, address.to_string()),
             }
         }
         let mut texts: Vec<String> = records.iter().map(encode).collect();
@@ -314,7 +315,8 @@
         self.io.append(texts);
     }
 
-    /// Gives a snapshot if one is due. The holders of later zones wait longer, so that one appends.
+    /// Returns the encoded snapshot if one is due. Lease holders of zones that come later in order wait for
+    /// more records, so that usually only one holder appends.
     fn snapshot(&mut self) -> Option<String> {
         let fleet = self.replay.fleet();
         if !self.lease.holds_lease(fleet)
@@ -336,9 +338,9 @@
         let next = self.replay.fleet().next_offset();
         match req {
             Request::Gossip(digest) => {
-                let said = digest.heartbeats.clone();
+                let received = digest.heartbeats.clone();
                 self.gossip.on_digest(now, digest);
-                Reply::Gossip(self.gossip.digest(now, &said))
+                Reply::Gossip(self.gossip.digest(now, &received))
             }
             Request::State => {
                 let known = self.caught_up && !self.replay.has_gap() && next > Offset(0);
@@ -352,8 +354,8 @@
         }
     }
 
-    /// Shows in metrics, readiness and logs how things stand.
-    fn show(&mut self) {
+    /// Updates metrics and readiness, and logs when this controller takes or loses the lease.
+    fn publish_status(&mut self) {
         let fleet = self.replay.fleet();
         let holds = self.lease.holds_lease(fleet);
         if holds != self.was_holder {
@@ -366,9 +368,9 @@
             }
         }
         let next = fleet.next_offset();
-        if next != self.shown {
-            self.shown = next;
-            self.show_fleet();
+        if next != self.gauges_offset {
+            self.gauges_offset = next;
+            self.update_fleet_gauges();
         }
         self.metrics.holds_lease.set(i64::from(holds));
         let ready = if self.caught_up {
@@ -383,8 +385,9 @@
         });
     }
 
-    /// Shows the fleet's gauges; goes through the whole fleet, so only when it has changed.
-    fn show_fleet(&self) {
+    /// Updates the gauges of the fleet. Iterates over the whole fleet, so it is called only when the offset
+    /// has changed.
+    fn update_fleet_gauges(&self) {
         let fleet = self.replay.fleet();
         let m = &self.metrics;
         let gauge = |n: u64| i64::try_from(n).unwrap_or(i64::MAX);
--- a/crates/limehollow-controller/src/main.rs
+++ b/crates/limehollow-controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The controller's process.
+//! Entry point of the controller process: starts the threads, the admin port and the control loop.
 
 use limehollow_controller::control::Control;
 use limehollow_controller::event::Event;
@@ -19,7 +19,7 @@
     version: env!("CARGO_PKG_VERSION"),
     about: "Plans placements and carries out orders for one availability zone.",
 };
-const EVENTS: usize = 1024;
+const EVENT_CAPACITY: usize = 1024;
 
 fn main() -> ExitCode {
     daemon(&PROGRAM, run)
@@ -44,7 +44,7 @@
         .build()
         .map_err(failed)?;
     let metrics = Metrics::default();
-    let (events_tx, events_rx) = mpsc::channel(EVENTS);
+    let (events_tx, events_rx) = mpsc::channel(EVENT_CAPACITY);
     let (ready_tx, ready_rx) = watch::channel(Readiness::Not("starting".to_owned()));
     let (dumps_tx, mut dumps_rx) = mpsc::channel(4);
     let admin = Admin {
@@ -69,7 +69,7 @@
     });
     let served = io_runtime.spawn(async move {
         let res = admin::serve(&admin_address, admin, poem::Route::new(), stop_signal()).await;
-        // The control thread ends whether the port was closed by a signal or never opened.
+        // Stops the control thread both after a signal closed the port and if the port never opened.
         let _stopped = events_tx.send(Event::Stop).await;
         res
     });
--- a/crates/limehollow-gateway/src/main.rs
+++ b/crates/limehollow-gateway/src/main.rs
@@ -207,7 +207,8 @@
     let mut reported_at = Instant::now();
     loop {
         if !has_state
-            && let Ok(Reply::State(Some(text))) = client.ask(&Request::State, STATE_TIMEOUT).await
+            && let Ok(Reply::State(Some(text))) =
+                client.request(&Request::State, STATE_TIMEOUT).await
             && let Ok(Some((next, fleet))) = snapshot(&text)
         {
             has_state = true;
@@ -221,7 +222,7 @@
         }
         let demand = shared.unmet_demand.drain(reported_at.elapsed());
         reported_at = Instant::now();
-        if let Ok(Reply::News(news)) = client.ask(&Request::News(demand), NEWS_TIMEOUT).await
+        if let Ok(Reply::News(news)) = client.request(&Request::News(demand), NEWS_TIMEOUT).await
             && events.send(Event::News(news)).await.is_err()
         {
             return;
