--- a/crates/limehollow-edge/src/engine.rs
+++ b/crates/limehollow-edge/src/engine.rs
@@ -33,7 +33,7 @@
         let began = Instant::now();
         let req = self.client.get(format!("http://{address}/state"));
         let state: State = json("endpoint state", req).await?;
-        Ok(state.into_look(endpoint, began))
+        Ok(state.into_observation(endpoint, began))
     }
 
     /// Tells an endpoint to refuse orders with a lower number.
--- a/crates/limehollow-wire/src/engine.rs
+++ b/crates/limehollow-wire/src/engine.rs
@@ -77,9 +77,9 @@
 impl State {
     /// Turns the answer into a look that began at that time.
     #[must_use]
-    pub fn into_look(self, endpoint: &VmName, began: Instant) -> Observation {
+    pub fn into_observation(self, endpoint: &VmName, began: Instant) -> Observation {
         let capacities = self.accelerators.iter().map(|a| a.capacity).collect();
-        let mut look = Observation {
+        let mut observation = Observation {
             began,
             incarnation: self.incarnation,
             kind: EndpointKind::Engine {
@@ -112,17 +112,19 @@
                 match m.phase {
                     Phase::Ready => {
                         let place = place.clone();
-                        look.residents.push(Resident {
+                        observation.residents.push(Resident {
                             place,
                             model,
                             bytes: m.bytes,
                         });
                     }
-                    Phase::Loading | Phase::Unloading => look.changing.push((place.clone(), model)),
+                    Phase::Loading | Phase::Unloading => {
+                        observation.changing.push((place.clone(), model));
+                    }
                 }
             }
         }
-        look
+        observation
     }
 }
 
