--- a/crates/limehollow-node/src/endpoint_signals.rs
+++ b/crates/limehollow-node/src/endpoint_signals.rs
@@ -8,7 +8,7 @@
 use limehollow::backpressure::{RateChange, Signals};
 use limehollow::balance::MESSAGE_LIFE;
 use limehollow::instance::Instance;
-use limehollow_wire::gossip::RateSaid;
+use limehollow_wire::gossip::RateReport;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -48,7 +48,7 @@
 }
 
 /// Applies the rate limits of endpoints that another VM reports.
-pub(crate) fn apply_rates<P>(site: &Site<P>, by: &str, rates: &[RateSaid])
+pub(crate) fn apply_rates<P>(site: &Site<P>, by: &str, rates: &[RateReport])
 where
     P: Protocol,
 {
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -12,7 +12,7 @@
 use limehollow::id::{EndpointKey, VmName};
 use limehollow::instance::Instance;
 use limehollow::roster::ModelRef;
-use limehollow_wire::gossip::{LastReader, LeaseNotice, ListChanges, Message, RateSaid, Scope};
+use limehollow_wire::gossip::{LastReader, LeaseNotice, ListChanges, Message, RateReport, Scope};
 use smol_str::{SmolStr, format_smolstr};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -244,7 +244,7 @@
     }
 
     /// Returns the limits of endpoints to send: those that changed recently, and at a longer interval all.
-    fn rates(&mut self, now: Instant, view: &SiteView) -> Vec<RateSaid> {
+    fn rates(&mut self, now: Instant, view: &SiteView) -> Vec<RateReport> {
         let backpressure = &view.balance.backpressure;
         let limits = if now.duration_since(self.limits_sent) >= LIMITS_SENT_EVERY {
             self.limits_sent = now;
@@ -257,7 +257,7 @@
         };
         let rates = limits.into_iter().filter_map(|(k, w)| {
             let instance = view.roster.get(k)?.instance.clone();
-            Some(RateSaid::at(now, instance, w))
+            Some(RateReport::at(now, instance, w))
         });
         rates.collect()
     }
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -196,23 +196,23 @@
     /// Whether it can read the list of endpoints in the platform's store, as far as it has tried.
     pub reads_list: bool,
     /// The limits that endpoints name, and those that have ended lately.
-    pub rates: Vec<RateSaid>,
+    pub rates: Vec<RateReport>,
 }
 
 /// The limit that an endpoint named, in ages, since VMs' clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RateSaid {
+pub struct RateReport {
     /// The endpoint.
     pub instance: Instance,
     /// Requests a second of all VMs together; none if it named no limit any more.
     pub rate: Option<f64>,
     /// How long ago the request was sent, in ms.
-    pub asked_ms: u32,
+    pub sent_ms_ago: u32,
     /// How long ago its answer was heard, in ms.
-    pub heard_ms: u32,
+    pub received_ms_ago: u32,
 }
 
-impl RateSaid {
+impl RateReport {
     /// Gives what is said of an endpoint at this moment.
     #[must_use]
     pub fn at(now: Instant, instance: Instance, w: RateObservation) -> Self {
@@ -220,8 +220,8 @@
         Self {
             instance,
             rate: w.rate,
-            asked_ms: ago(w.sent_at),
-            heard_ms: ago(w.received_at),
+            sent_ms_ago: ago(w.sent_at),
+            received_ms_ago: ago(w.received_at),
         }
     }
 
@@ -231,11 +231,11 @@
     /// nothing is taken for newer than it is.
     #[must_use]
     pub fn told(&self, now: Instant, on_the_way: Duration) -> RateObservation {
-        let asked = before(now, self.asked_ms);
+        let asked = before(now, self.sent_ms_ago);
         RateObservation {
             rate: self.rate,
             sent_at: asked.checked_sub(on_the_way).unwrap_or(asked),
-            received_at: before(now, self.heard_ms),
+            received_at: before(now, self.received_ms_ago),
         }
     }
 }
