--- a/crates/limehollow-node/src/start.rs
+++ b/crates/limehollow-node/src/start.rs
@@ -139,7 +139,7 @@
 {
     let body = QueryBody::Start(introduction(&own_vm(site)));
     let reply = site.queries.ask(&site.clock, vm, body, ANSWER_WITHIN);
-    let Some(Reply::Giver(parent)) = reply.await else {
+    let Some(Reply::Parent(parent)) = reply.await else {
         return StateOutcome::Silent;
     };
     let parent = parent.unwrap_or(vm);
@@ -281,7 +281,7 @@
     P: Protocol,
 {
     let Some(vm) = vm(said) else {
-        return Reply::Giver(None);
+        return Reply::Parent(None);
     };
     let now = site.now();
     let mut view = site.view();
@@ -292,7 +292,7 @@
         view.unlisted.insert(vm.name.clone(), vm);
         site.vm_unlisted.notify_one();
     }
-    Reply::Giver(match parent {
+    Reply::Parent(match parent {
         Parent::AskedVm => None,
         Parent::Other(a) => Some(a),
     })
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -354,7 +354,7 @@
         vms_known: u16,
     },
     /// The VM that hands the state over, as the address of its datagrams; none for the one that was asked.
-    Giver(Option<SocketAddr>),
+    Parent(Option<SocketAddr>),
     /// The tokens were taken out of the pool for who asked.
     Granted,
     /// The pool has too few; in how many ms it has enough.
