--- a/crates/limehollow-node/src/gossip.rs
+++ b/crates/limehollow-node/src/gossip.rs
@@ -177,7 +177,7 @@
                 continue;
             }
         };
-        if !w.wants.is_empty() {
+        if !w.requested_loads.is_empty() {
             wake_controller.notify_one();
         }
         if let Some((message, to)) = handle_message(&site, w) {
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -151,7 +151,7 @@
             Scope::Zone | Scope::News => {}
         }
         view.requested_loads
-            .extend(w.wants.into_iter().map(|m| (m, now)));
+            .extend(w.requested_loads.into_iter().map(|m| (m, now)));
         // A repeated notice of a zone changes nothing, but still counts as received.
         if let Some(notice) = w.lease
             && view.candidacy.observe(now, to_notice(now, notice))
--- a/crates/limehollow-node/src/sender.rs
+++ b/crates/limehollow-node/src/sender.rs
@@ -173,9 +173,9 @@
         let mut own = self.own(now, view, told.own_zone);
         own.rates = self.rates(now, view);
         own.reports = view.reports.next_batch();
-        own.wants = std::mem::take(&mut view.unsent_loads).into_iter().collect();
+        own.requested_loads = std::mem::take(&mut view.unsent_loads).into_iter().collect();
         let mut to = view.peers.zone_recipients(now);
-        if !own.wants.is_empty() {
+        if !own.requested_loads.is_empty() {
             to.extend(controller(now, view).filter(|a| !to.contains(a)));
         }
         if view.peers.known_vms() == 1 {
@@ -232,11 +232,11 @@
         if view.unsent_loads.is_empty() {
             return None;
         }
-        let wants = std::mem::take(&mut view.unsent_loads).into_iter().collect();
+        let requested_loads = std::mem::take(&mut view.unsent_loads).into_iter().collect();
         let own = self.own(now, view, Vec::new());
         let message = Message {
             forward: false,
-            wants,
+            requested_loads,
             lease: None,
             ..controller_news(&own)
         };
@@ -301,7 +301,7 @@
             gone: recent_instances(now, &view.gone),
             leaving: recent_instances(now, &view.leaving),
             demand: rates(view.arrivals.rates(now)),
-            wants: Vec::new(),
+            requested_loads: Vec::new(),
             reports: Vec::new(),
             list: Vec::new(),
             lease: own_notice(now, view),
@@ -430,7 +430,7 @@
         gone: Vec::new(),
         leaving: Vec::new(),
         demand: Vec::new(),
-        wants: Vec::new(),
+        requested_loads: Vec::new(),
         list: Vec::new(),
         crashes: Vec::new(),
         rates: Vec::new(),
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -174,7 +174,7 @@
     /// What its callers ask of each model, in ms of work a second.
     pub demand: Vec<(ModelRef, f32)>,
     /// What requests wait for that isn't loaded.
-    pub wants: Vec<ModelRef>,
+    pub requested_loads: Vec<ModelRef>,
     /// Changes of the list that this VM read lately.
     pub list: Vec<ListChanges>,
     /// What is known of the lease to give orders.
