--- a/crates/limehollow-node/src/endpoint_signals.rs
+++ b/crates/limehollow-node/src/endpoint_signals.rs
@@ -58,7 +58,7 @@
         let Some(key) = view.roster.find(&r.instance) else {
             continue;
         };
-        let word = r.told(now, MAX_TRANSIT);
+        let word = r.to_observation(now, MAX_TRANSIT);
         let change = view.balance.backpressure.merge(now, key, word);
         if change != RateChange::Unchanged {
             view.set_limit(now, key);
--- a/crates/limehollow-node/src/follower.rs
+++ b/crates/limehollow-node/src/follower.rs
@@ -227,7 +227,7 @@
         if let Some(ages) = ages(state.reading, self.feed) {
             let mut view = self.site.view();
             self.site
-                .merge_freshness(&mut view, self.feed, ages.told(now), true);
+                .merge_freshness(&mut view, self.feed, ages.to_freshness(now), true);
         }
         let changes: Vec<Change> = match self.feed {
             Feed::Configuration => {
--- a/crates/limehollow-node/src/receiver.rs
+++ b/crates/limehollow-node/src/receiver.rs
@@ -106,7 +106,7 @@
         }
         view.update_vm_count(now, usize::from(w.vms_known));
         if let Some(r) = w.last_reader.filter(|r| r.vm != site.own_vm.as_str()) {
-            view.confirmation.record_reader(&r.vm, r.told(now));
+            view.confirmation.record_reader(&r.vm, r.read_began(now));
         }
         let key = |(i, t): &(Instance, Taken)| Some((view.roster.find(i)?, *t));
         let taken: Vec<(EndpointKey, Taken)> = w.taken.iter().filter_map(key).collect();
--- a/crates/limehollow-node/src/site.rs
+++ b/crates/limehollow-node/src/site.rs
@@ -266,7 +266,7 @@
             let (theirs, mine) = (position(p, feed), position(view.positions, feed));
             if let Some(ages) = ages(r, feed) {
                 let has_all = mine.covers(theirs) && !mine.is_start();
-                self.merge_freshness(&mut view, feed, ages.told(now), has_all);
+                self.merge_freshness(&mut view, feed, ages.to_freshness(now), has_all);
             }
             if theirs <= mine {
                 continue;
--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -95,7 +95,7 @@
 
     /// Gives the freshness that was told at this moment.
     #[must_use]
-    pub fn told(self, now: Instant) -> Freshness {
+    pub fn to_freshness(self, now: Instant) -> Freshness {
         Freshness::new(before(now, self.complete_ms), before(now, self.sound_ms))
     }
 }
@@ -130,7 +130,7 @@
 
     /// Gives when the read began about that was told of at this moment.
     #[must_use]
-    pub fn told(&self, now: Instant) -> Instant {
+    pub fn read_began(&self, now: Instant) -> Instant {
         before(now, self.read_ms_ago)
     }
 }
@@ -230,11 +230,11 @@
     /// What was on its way seems to have been said later than it was. The span in which it was written begins that much earlier, so that
     /// nothing is taken for newer than it is.
     #[must_use]
-    pub fn told(&self, now: Instant, on_the_way: Duration) -> RateObservation {
+    pub fn to_observation(&self, now: Instant, transit: Duration) -> RateObservation {
         let asked = before(now, self.sent_ms_ago);
         RateObservation {
             rate: self.rate,
-            sent_at: asked.checked_sub(on_the_way).unwrap_or(asked),
+            sent_at: asked.checked_sub(transit).unwrap_or(asked),
             received_at: before(now, self.received_ms_ago),
         }
     }
