--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -95,7 +95,7 @@
 
     /// Gives the freshness that was told at this moment.
     #[must_use]
-    pub fn told(self, now: Instant) -> Freshness {
+    pub fn to_freshness(self, now: Instant) -> Freshness {
         Freshness::new(before(now, self.complete_ms), before(now, self.sound_ms))
     }
 }
@@ -130,7 +130,7 @@
 
     /// Gives when the read began about that was told of at this moment.
     #[must_use]
-    pub fn told(&self, now: Instant) -> Instant {
+    pub fn read_began(&self, now: Instant) -> Instant {
         before(now, self.read_ms_ago)
     }
 }
@@ -174,7 +174,7 @@
     /// What its callers ask of each model, in ms of work a second.
     pub demand: Vec<(ModelRef, f32)>,
     /// What requests wait for that isn't loaded.
-    pub wants: Vec<ModelRef>,
+    pub requested_loads: Vec<ModelRef>,
     /// Changes of the list that this VM read lately.
     pub list: Vec<ListChanges>,
     /// What is known of the lease to give orders.
@@ -196,23 +196,23 @@
     /// Whether it can read the list of endpoints in the platform's store, as far as it has tried.
     pub reads_list: bool,
     /// The limits that endpoints name, and those that have ended lately.
-    pub rates: Vec<RateSaid>,
+    pub rates: Vec<RateReport>,
 }
 
 /// The limit that an endpoint named, in ages, since VMs' clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RateSaid {
+pub struct RateReport {
     /// The endpoint.
     pub instance: Instance,
     /// Requests a second of all VMs together; none if it named no limit any more.
     pub rate: Option<f64>,
     /// How long ago the request was sent, in ms.
-    pub asked_ms: u32,
+    pub sent_ms_ago: u32,
     /// How long ago its answer was heard, in ms.
-    pub heard_ms: u32,
+    pub received_ms_ago: u32,
 }
 
-impl RateSaid {
+impl RateReport {
     /// Gives what is said of an endpoint at this moment.
     #[must_use]
     pub fn at(now: Instant, instance: Instance, w: RateObservation) -> Self {
@@ -220,8 +220,8 @@
         Self {
             instance,
             rate: w.rate,
-            asked_ms: ago(w.sent_at),
-            heard_ms: ago(w.received_at),
+            sent_ms_ago: ago(w.sent_at),
+            received_ms_ago: ago(w.received_at),
         }
     }
 
@@ -230,12 +230,12 @@
     /// What was on its way seems to have been said later than it was. The span in which it was written begins that much earlier, so that
     /// nothing is taken for newer than it is.
     #[must_use]
-    pub fn told(&self, now: Instant, on_the_way: Duration) -> RateObservation {
-        let asked = before(now, self.asked_ms);
+    pub fn to_observation(&self, now: Instant, transit: Duration) -> RateObservation {
+        let asked = before(now, self.sent_ms_ago);
         RateObservation {
             rate: self.rate,
-            sent_at: asked.checked_sub(on_the_way).unwrap_or(asked),
-            received_at: before(now, self.heard_ms),
+            sent_at: asked.checked_sub(transit).unwrap_or(asked),
+            received_at: before(now, self.received_ms_ago),
         }
     }
 }
@@ -354,7 +354,7 @@
         vms_known: u16,
     },
     /// The VM that hands the state over, as the address of its datagrams; none for the one that was asked.
-    Giver(Option<SocketAddr>),
+    Parent(Option<SocketAddr>),
     /// The tokens were taken out of the pool for who asked.
     Granted,
     /// The pool has too few; in how many ms it has enough.
