--- a/crates/limehollow-gateway/src/claims.rs
+++ b/crates/limehollow-gateway/src/claims.rs
@@ -167,7 +167,9 @@
                 })
             }
             Ok(Ok(Decision::OwnDuplicate(fate))) => ClaimOutcome::Duplicate(fate),
-            Ok(Ok(Decision::PeerDuplicate(who))) => ClaimOutcome::Duplicate(query_peer(&who).await),
+            Ok(Ok(Decision::PeerDuplicate(claimant))) => {
+                ClaimOutcome::Duplicate(query_peer(&claimant).await)
+            }
             Ok(Ok(Decision::Undecided) | Err(_)) | Err(_) => ClaimOutcome::Undecided(RETRY_AFTER),
         }
     }
@@ -188,12 +190,12 @@
 }
 
 /// Queries the gateway that claimed a key for the state of the request.
-async fn query_peer(who: &Claimant) -> Fate {
+async fn query_peer(claimant: &Claimant) -> Fate {
     let req = Request::Claim {
-        incarnation: who.incarnation,
-        number: who.number,
+        incarnation: claimant.incarnation,
+        number: claimant.number,
     };
-    match PeerClient::new(&who.address)
+    match PeerClient::new(&claimant.address)
         .request(&req, PEER_TIMEOUT)
         .await
     {
--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -178,7 +178,7 @@
                     return;
                 }
                 if let ClaimState::Held(who) = self.claims.state(key) {
-                    let _gone = reply.send(self.held_by(who));
+                    let _gone = reply.send(self.decision_for_holder(who));
                     return;
                 }
                 self.last_number += 1;
@@ -191,7 +191,7 @@
         }
     }
 
-    fn held_by(&self, who: Claimant) -> Decision {
+    fn decision_for_holder(&self, who: Claimant) -> Decision {
         if who.vm == self.identity.vm && who.incarnation == self.identity.incarnation {
             return Decision::OwnDuplicate(self.fate(who.number));
         }
@@ -215,7 +215,7 @@
                 self.running_keys.remove(&number);
                 let fits = |w: &FullAnswer| w.body.len() <= self.settings.result_bytes;
                 let fate = result.filter(fits).map_or(Fate::Unknown, Fate::Done);
-                self.remember(number, fate);
+                self.record_fate(number, fate);
             }
             ClaimResult::Release(number) => {
                 if let Some(key) = self.running_keys.remove(&number) {
@@ -241,12 +241,12 @@
     }
 
     fn release(&mut self, key: KeyHash, number: u64) {
-        self.remember(number, Fate::Released);
+        self.record_fate(number, Fate::Released);
         self.releases
             .push(ClaimRecord::Release(key, self.claimant(number)));
     }
 
-    fn remember(&mut self, number: u64, fate: Fate) {
+    fn record_fate(&mut self, number: u64, fate: Fate) {
         self.fates.insert(number, fate);
         while self.fates.len() > self.settings.results.max(1) {
             self.fates.pop_first();
@@ -320,9 +320,9 @@
     }
 
     fn decide(&mut self, p: Pending) {
-        let mine = self.claimant(p.number);
+        let own_claim = self.claimant(p.number);
         match self.claims.state(p.key) {
-            ClaimState::Held(who) if who == mine => {
+            ClaimState::Held(who) if who == own_claim => {
                 self.running_keys.insert(p.number, p.key);
                 if p.reply.send(Decision::Acquired(p.number)).is_err() {
                     // The caller has already received the answer that nothing ran, so the request must
@@ -332,7 +332,7 @@
                 }
             }
             ClaimState::Held(who) => {
-                let _gone = p.reply.send(self.held_by(who));
+                let _gone = p.reply.send(self.decision_for_holder(who));
             }
             ClaimState::Free => {
                 let _gone = p.reply.send(Decision::Undecided);
--- a/crates/limehollow-gateway/src/shared_admission.rs
+++ b/crates/limehollow-gateway/src/shared_admission.rs
@@ -110,7 +110,7 @@
     /// Returns the refusal as soon as it is decided.
     pub async fn admit(self: &Arc<Self>, request: AdmissionRequest) -> SlotResult {
         match self.try_admit(request) {
-            AdmitOutcome::Decided(granted) => granted,
+            AdmitOutcome::Decided(result) => result,
             AdmitOutcome::Queued(_queued, rx) => {
                 let lost = Refusal {
                     reason: Reason::NoTarget,
@@ -140,7 +140,7 @@
             }
         }
         let shed = shed.and_then(|(t, r)| inner.waiters.remove(&t).map(|tx| (tx, r)));
-        let first = match admit {
+        let outcome = match admit {
             AdmissionDecision::Start(key) => AdmitOutcome::Decided(Ok(self.slot(key))),
             AdmissionDecision::Refuse(r) => AdmitOutcome::Decided(Err(r)),
             AdmissionDecision::Wait(ticket) => {
@@ -160,7 +160,7 @@
             // The send fails if the caller has disconnected; it then needs no refusal.
             let _left = tx.send(Err(refusal));
         }
-        first
+        outcome
     }
 
     /// Grants slots to queued requests that can start, and refuses those that are too late.
