--- a/crates/limehollow-gateway/tests/callers.rs
+++ b/crates/limehollow-gateway/tests/callers.rs
@@ -30,7 +30,7 @@
         .expect("an answer")
         .text()
         .await
-        .expect("whole");
+        .expect("the body is complete");
     assert_eq!(streamed_text(&text), (expected("hello", 5), true));
 }
 
@@ -182,7 +182,7 @@
         (res.status().as_u16(), header(&res, "x-receipt")),
         (200, "1".to_owned())
     );
-    let text = res.text().await.expect("whole");
+    let text = res.text().await.expect("the body is complete");
     assert_eq!(
         text,
         "portal PUT /drafts/7?full=yes ran as number 1: text\n"
--- a/crates/limehollow-gateway/tests/claim_task.rs
+++ b/crates/limehollow-gateway/tests/claim_task.rs
@@ -39,11 +39,11 @@
     }
 
     fn set(&self, fault: Fault) {
-        self.0.lock().expect("nobody panicked").fault = fault;
+        self.0.lock().expect("the lock is not poisoned").fault = fault;
     }
 
     fn text(&self) -> String {
-        let inner = self.0.lock().expect("nobody panicked");
+        let inner = self.0.lock().expect("the lock is not poisoned");
         inner.records.iter().map(|r| r.data.as_str()).collect()
     }
 }
@@ -52,7 +52,7 @@
     async fn append(&self, _stream: &str, records: Vec<String>) -> limehollow_edge::Result<u64> {
         sleep(Duration::from_millis(2)).await;
         let at_ms = u64::try_from(self.1.elapsed().as_millis()).expect("a test is short");
-        let mut inner = self.0.lock().expect("nobody panicked");
+        let mut inner = self.0.lock().expect("the lock is not poisoned");
         let fails = || StatusSnafu {
             what: "log append",
             status: 504_u16,
@@ -86,7 +86,7 @@
         let end = Instant::now() + wait;
         loop {
             {
-                let inner = self.0.lock().expect("nobody panicked");
+                let inner = self.0.lock().expect("the lock is not poisoned");
                 if inner.fault == Fault::Down {
                     return StatusSnafu {
                         what: "log read",
@@ -128,12 +128,12 @@
     claim_client
 }
 
-fn soon() -> Instant {
+fn far_deadline() -> Instant {
     Instant::now() + Duration::from_secs(30)
 }
 
 async fn acquire(c: &ClaimClient, key: u128) -> Claim {
-    match c.claim(key, soon()).await {
+    match c.claim(key, far_deadline()).await {
         ClaimOutcome::Acquired(claim) => claim,
         other => panic!("the claim was not acquired: {other:?}"),
     }
@@ -148,7 +148,7 @@
     let log = MemoryLog::new();
     let (one, two) = (gateway(&log, "vm-1"), gateway(&log, "vm-2"));
     settle().await;
-    let (a, b) = tokio::join!(one.claim(7, soon()), two.claim(7, soon()));
+    let (a, b) = tokio::join!(one.claim(7, far_deadline()), two.claim(7, far_deadline()));
     let acquired = [&a, &b]
         .iter()
         .filter(|c| matches!(c, ClaimOutcome::Acquired(_)))
@@ -163,13 +163,13 @@
     settle().await;
     let claim = acquire(&g, 7).await;
     assert!(matches!(
-        g.claim(7, soon()).await,
+        g.claim(7, far_deadline()).await,
         ClaimOutcome::Duplicate(Fate::Running)
     ));
     claim.complete(None);
     settle().await;
     assert!(matches!(
-        g.claim(7, soon()).await,
+        g.claim(7, far_deadline()).await,
         ClaimOutcome::Duplicate(Fate::Unknown)
     ));
 }
@@ -196,7 +196,10 @@
     drop(again);
     settle().await;
     assert!(
-        !matches!(one.claim(7, soon()).await, ClaimOutcome::Acquired(_)),
+        !matches!(
+            one.claim(7, far_deadline()).await,
+            ClaimOutcome::Acquired(_)
+        ),
         "it may have run"
     );
 }
@@ -211,7 +214,7 @@
     assert!(claim.is_valid());
     log.set(Fault::Nothing);
     assert!(!matches!(
-        two.claim(7, soon()).await,
+        two.claim(7, far_deadline()).await,
         ClaimOutcome::Acquired(_)
     ));
 }
@@ -224,7 +227,7 @@
     log.set(Fault::AppendsLost);
     let started = Instant::now();
     assert!(matches!(
-        one.claim(7, soon()).await,
+        one.claim(7, far_deadline()).await,
         ClaimOutcome::Undecided(_)
     ));
     assert!(
@@ -242,7 +245,7 @@
     settle().await;
     log.set(Fault::Down);
     assert!(matches!(
-        one.claim(7, soon()).await,
+        one.claim(7, far_deadline()).await,
         ClaimOutcome::Undecided(_)
     ));
     log.set(Fault::Nothing);
@@ -288,13 +291,21 @@
         .map(|key| {
             let one = one.clone();
             tokio::spawn(async move {
-                matches!(one.claim(key, soon()).await, ClaimOutcome::Acquired(_))
+                matches!(
+                    one.claim(key, far_deadline()).await,
+                    ClaimOutcome::Acquired(_)
+                )
             })
         })
         .collect();
     for w in claims {
         assert!(w.await.expect("the task ends"));
     }
-    let appends = log.0.lock().expect("nobody panicked").records.len();
+    let appends = log
+        .0
+        .lock()
+        .expect("the lock is not poisoned")
+        .records
+        .len();
     assert!(appends <= 5, "{appends} appends for 200 claims");
 }
--- a/crates/limehollow-gateway/tests/faults.rs
+++ b/crates/limehollow-gateway/tests/faults.rs
@@ -88,11 +88,11 @@
         rig.add_service_at("bad", &address).await;
         let g = rig.gateway("vm-1", "").await;
         let req = g
-            .file("k", "return")
+            .keyed_call("k", "return")
             .header("x-limehollow-deadline-ms", "2000");
         let res = req.send().await.expect("an answer");
         let (status, verdict) = (res.status().as_u16(), header(&res, "x-limehollow-verdict"));
-        let text = res.text().await.expect("whole");
+        let text = res.text().await.expect("the body is complete");
         assert!(status >= 500, "{fault:?}: {status}");
         // If the connection was reset before a byte of the request was sent, both verdicts are correct.
         let nothing_left = fault == ConnectionFault::ResetAtOnce && verdict == "not-run";
@@ -109,11 +109,11 @@
 }
 
 #[tokio::test]
-async fn call_to_nobody_is_not_run() {
+async fn call_to_unreachable_endpoint_is_not_run() {
     let rig = Rig::new(0).await;
     rig.add_service_at("away", &free_address()).await;
     let g = rig.gateway("vm-1", "").await;
-    let res = g.file("k", "return").send().await.expect("an answer");
+    let res = g.keyed_call("k", "return").send().await.expect("an answer");
     assert_eq!(
         (res.status().as_u16(), header(&res, "x-limehollow-verdict")),
         (503, "not-run".into())
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn completion_goes_elsewhere() {
+async fn completion_retried_at_another_endpoint() {
     let rig = Rig::new(2).await;
     let g = rig.gateway("vm-1", "").await;
     rig.engine_faults(0, &json!({ "refuse": true })).await;
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn stream_resumed_elsewhere() {
+async fn stream_resumed_at_another_endpoint() {
     let rig = Rig::new(2).await;
     let g = rig.gateway("vm-1", "").await;
     for after in [0, 1, 3, 7] {
@@ -147,7 +147,7 @@
             let prompt = format!("prompt {after} {n}");
             let body = json!({ "model": "m", "prompt": prompt, "max_tokens": 8, "stream": true });
             let res = g.complete(&body).send().await.expect("an answer");
-            let text = res.text().await.expect("whole");
+            let text = res.text().await.expect("the body is complete");
             assert_eq!(
                 streamed_text(&text),
                 (expected(&prompt, 8), true),
@@ -206,7 +206,7 @@
 }
 
 #[tokio::test]
-async fn late_answer_reaches_nobody() {
+async fn late_answer_is_discarded() {
     // Requests time out at a frozen engine. When it resumes, its late answers must not be delivered to
     // later requests.
     let rig = Rig::new(1).await;
@@ -252,7 +252,10 @@
         .expect("it ends")
         .expect("it is whole");
     assert_eq!(streamed_text(&text), (expected("p", 400), true));
-    assert!(g.ended().await, "the gateway exits successfully by itself");
+    assert!(
+        g.exits_successfully().await,
+        "the gateway exits successfully by itself"
+    );
 }
 
 #[tokio::test]
@@ -272,7 +275,7 @@
             assert_eq!(res.status(), 200);
             sent += 1;
         }
-        assert!(gateways[i].ended().await);
+        assert!(gateways[i].exits_successfully().await);
         gateways[i] = rig.gateway(&format!("vm-{}", i + 1), "").await;
     }
     assert_eq!(sent, 80);
@@ -302,7 +305,7 @@
 }
 
 #[tokio::test]
-async fn slow_caller_holds_little() {
+async fn slow_caller_does_not_block_others() {
     // A caller that does not read its stream: the gateway stops reading from the engine, and the
     // engine is slowed down.
     let rig = Rig::new(1).await;
@@ -392,7 +395,11 @@
             200
         );
         let key = format!("key-{n}");
-        let refused = cut.file(&key, "return").send().await.expect("an answer");
+        let refused = cut
+            .keyed_call(&key, "return")
+            .send()
+            .await
+            .expect("an answer");
         assert_eq!(
             (
                 refused.status().as_u16(),
@@ -400,13 +407,17 @@
             ),
             (503, "not-run".into())
         );
-        let done = other.file(&key, "return").send().await.expect("an answer");
+        let done = other
+            .keyed_call(&key, "return")
+            .send()
+            .await
+            .expect("an answer");
         assert_eq!(done.status(), 200);
         assert_eq!(rig.service_runs(&key).await, 1);
     }
     rig.platform_faults(&json!({})).await;
     rig.wait_until("the reconnected gateway has the result", async || {
-        let res = cut.file("key-0", "return").send().await.ok()?;
+        let res = cut.keyed_call("key-0", "return").send().await.ok()?;
         (res.status() == 200).then_some(())
     })
     .await;
--- a/crates/limehollow-gateway/tests/once.rs
+++ b/crates/limehollow-gateway/tests/once.rs
@@ -15,10 +15,14 @@
 }
 
 /// Sends a call with an idempotency key and returns its status, verdict and body.
-async fn file(g: &Gateway, key: &str) -> (u16, String, String) {
-    let res = g.file(key, "return").send().await.expect("an answer");
+async fn keyed_call(g: &Gateway, key: &str) -> (u16, String, String) {
+    let res = g.keyed_call(key, "return").send().await.expect("an answer");
     let (status, verdict) = (res.status().as_u16(), header(&res, "x-limehollow-verdict"));
-    (status, verdict, res.text().await.expect("whole"))
+    (
+        status,
+        verdict,
+        res.text().await.expect("the body is complete"),
+    )
 }
 
 #[tokio::test]
@@ -28,9 +32,9 @@
         let key = format!("key-{n}");
         let calls = (0..4).map(|i| {
             let req = if i % 2 == 0 {
-                one.file(&key, "return")
+                one.keyed_call(&key, "return")
             } else {
-                two.file(&key, "return")
+                two.keyed_call(&key, "return")
             };
             tokio::spawn(req.send())
         });
@@ -56,15 +60,15 @@
 #[tokio::test]
 async fn key_again_gives_the_same_result() {
     let (rig, one, two) = rig_with_two_gateways().await;
-    let first = file(&one, "k").await;
+    let first = keyed_call(&one, "k").await;
     assert_eq!(first.0, 200);
     assert_eq!(
-        file(&one, "k").await,
+        keyed_call(&one, "k").await,
         first,
         "from the stored result of the same gateway"
     );
     assert_eq!(
-        file(&two, "k").await,
+        keyed_call(&two, "k").await,
         first,
         "queried from the gateway that ran the request"
     );
@@ -76,7 +80,7 @@
     let (rig, one, _) = rig_with_two_gateways().await;
     for caller in ["Bearer a", "Bearer b"] {
         let res = one
-            .file("k", "return")
+            .keyed_call("k", "return")
             .header("authorization", caller)
             .send()
             .await;
@@ -94,7 +98,7 @@
     let (rig, one, two) = rig_with_two_gateways().await;
     rig.platform_faults(&json!({ "log_down": true })).await;
     for g in [&one, &two] {
-        let (status, verdict, _) = file(g, "k").await;
+        let (status, verdict, _) = keyed_call(g, "k").await;
         assert_eq!((status, verdict.as_str()), (503, "not-run"));
     }
     assert_eq!(
@@ -104,7 +108,7 @@
     );
     rig.platform_faults(&json!({})).await;
     rig.wait_until("the key can be used again", async || {
-        (file(&two, "k").await.0 == 200).then_some(())
+        (keyed_call(&two, "k").await.0 == 200).then_some(())
     })
     .await;
     assert_eq!(rig.service_runs("k").await, 1);
@@ -119,18 +123,21 @@
         let key = format!("key-{n}");
         rig.platform_faults(&json!({ "lose_append_answers": n % 3, "drop_appends": n % 2 }))
             .await;
-        let told = [
-            file(&one, &key).await,
-            file(&two, &key).await,
-            file(&one, &key).await,
+        let answers = [
+            keyed_call(&one, &key).await,
+            keyed_call(&two, &key).await,
+            keyed_call(&one, &key).await,
         ];
         let runs = rig.service_runs(&key).await;
-        assert!(runs <= 1, "{key} ran {runs} times: {told:?}");
-        if told.iter().any(|(status, ..)| *status == 200) {
+        assert!(runs <= 1, "{key} ran {runs} times: {answers:?}");
+        if answers.iter().any(|(status, ..)| *status == 200) {
             assert_eq!(runs, 1);
         }
-        if told.iter().all(|(_, verdict, _)| verdict == "not-run") {
-            assert_eq!(runs, 0, "{key} ran despite the verdict not-run: {told:?}");
+        if answers.iter().all(|(_, verdict, _)| verdict == "not-run") {
+            assert_eq!(
+                runs, 0,
+                "{key} ran despite the verdict not-run: {answers:?}"
+            );
         }
     }
 }
@@ -139,10 +146,10 @@
 async fn key_when_the_service_breaks_off() {
     let (rig, one, two) = rig_with_two_gateways().await;
     rig.service_faults(&json!({ "break_bodies": 1 })).await;
-    let (status, verdict, _) = file(&one, "k").await;
+    let (status, verdict, _) = keyed_call(&one, "k").await;
     assert_eq!((status, verdict.as_str()), (502, "unknown"));
     for g in [&one, &two] {
-        let (status, verdict, _) = file(g, "k").await;
+        let (status, verdict, _) = keyed_call(g, "k").await;
         assert_eq!((status, verdict.as_str()), (409, "unknown"));
     }
     assert_eq!(rig.service_runs("k").await, 1);
@@ -152,7 +159,7 @@
 async fn key_of_a_killed_gateway() {
     let (rig, mut one, two) = rig_with_two_gateways().await;
     rig.service_faults(&json!({ "delay_ms": 60_000 })).await;
-    let call = tokio::spawn(one.file("k", "return").send());
+    let call = tokio::spawn(one.keyed_call("k", "return").send());
     rig.wait_until("the call runs", async || {
         (rig.service_runs("k").await == 1).then_some(())
     })
@@ -160,7 +167,7 @@
     one.kill();
     assert!(call.await.expect("the task ends").is_err());
     rig.service_faults(&json!({})).await;
-    let (status, verdict, _) = file(&two, "k").await;
+    let (status, verdict, _) = keyed_call(&two, "k").await;
     assert_eq!((status, verdict.as_str()), (409, "unknown"));
     assert_eq!(rig.service_runs("k").await, 1);
 }
@@ -172,10 +179,10 @@
     let (rig, one, two) = rig_with_two_gateways().await;
     for n in 0..6 {
         let key = format!("key-{n}");
-        let call = tokio::spawn(one.file(&key, "return").send());
+        let call = tokio::spawn(one.keyed_call(&key, "return").send());
         sleep(Duration::from_millis(n)).await;
         one.signal("STOP");
-        let (status, verdict, _) = file(&two, &key).await;
+        let (status, verdict, _) = keyed_call(&two, &key).await;
         one.signal("CONT");
         let first = call.await.expect("the task ends").expect("an answer");
         let runs = rig.service_runs(&key).await;
@@ -198,7 +205,7 @@
     let address = rig::free_address();
     rig.add_service_at("portal-1", &address).await;
     let (one, two) = (rig.gateway("vm-1", "").await, rig.gateway("vm-2", "").await);
-    let (status, verdict, _) = file(&one, "k").await;
+    let (status, verdict, _) = keyed_call(&one, "k").await;
     assert_eq!((status, verdict.as_str()), (503, "not-run"));
     let settings = stand_ins::service::ServiceSettings {
         name: "portal".into(),
@@ -206,7 +213,7 @@
     };
     tokio::spawn(stand_ins::service::Service::new(settings, 1).serve());
     rig.wait_until("the key is free", async || {
-        (file(&two, "k").await.0 == 200).then_some(())
+        (keyed_call(&two, "k").await.0 == 200).then_some(())
     })
     .await;
 }
--- a/crates/limehollow-gateway/tests/rig/mod.rs
+++ b/crates/limehollow-gateway/tests/rig/mod.rs
@@ -65,7 +65,7 @@
     }
 
     /// Waits for the process to exit and returns `true` if it exited successfully.
-    pub async fn ended(&mut self) -> bool {
+    pub async fn exits_successfully(&mut self) -> bool {
         let end = Instant::now() + LONG;
         while Instant::now() < end {
             if let Some(status) = self.child.try_wait().expect("it was started here") {
@@ -87,7 +87,7 @@
             .json(body)
     }
 
-    pub fn file(&self, key: &str, body: &str) -> reqwest::RequestBuilder {
+    pub fn keyed_call(&self, key: &str, body: &str) -> reqwest::RequestBuilder {
         client()
             .post(format!("{}/services/portal/filings", self.url))
             .header("x-limehollow-repeat", "never")
@@ -231,7 +231,7 @@
             checks_fencing: true,
             accelerators: vec![100],
         };
-        self.append(&seen(&name, &address, kind, vec![resident]))
+        self.append(&endpoint_seen(&name, &address, kind, vec![resident]))
             .await;
         self.engines.push(address);
     }
@@ -254,7 +254,8 @@
         let kind = EndpointKind::Service {
             name: "portal".into(),
         };
-        self.append(&seen(name, address, kind, Vec::new())).await;
+        self.append(&endpoint_seen(name, address, kind, Vec::new()))
+            .await;
     }
 
     /// Starts a gateway and waits until it is ready.
@@ -375,7 +376,12 @@
     }
 }
 
-fn seen(name: &str, address: &str, kind: EndpointKind, residents: Vec<Resident>) -> Record {
+fn endpoint_seen(
+    name: &str,
+    address: &str,
+    kind: EndpointKind,
+    residents: Vec<Resident>,
+) -> Record {
     Record::EndpointSeen(EndpointSeen {
         zone: "a".into(),
         epoch: Offset(0),
