--- a/crates/limehollow-gateway/src/claims/task.rs
+++ b/crates/limehollow-gateway/src/claims/task.rs
@@ -67,7 +67,8 @@
 enum AppendOutcome {
     /// The batch was appended at this offset.
     At(Offset),
-    /// It is not known whether the batch was appended; the append was abandoned at this time.
+    /// It is not known whether the batch was appended; the append failed or timed out at this
+    /// time.
     Unknown(Instant),
 }
 
@@ -198,7 +199,9 @@
         Decision::PeerDuplicate(who)
     }
 
-    /// Returns the state of one of this gateway's claims; a number that is not known gives
+    /// Returns the state of one of this gateway's claims.
+    ///
+    /// A claim that was never granted to a caller has been released. A number without a record gives
     /// [`Fate::Unknown`].
     fn fate(&self, number: u64) -> Fate {
         match self.fates.get(&number) {
