--- a/crates/limehollow-gateway/tests/faults.rs
+++ b/crates/limehollow-gateway/tests/faults.rs
@@ -306,8 +306,8 @@
 
 #[tokio::test]
 async fn slow_caller_does_not_block_others() {
-    // A caller that does not read its stream: the gateway stops reading from the engine, and the
-    // engine is slowed down.
+    // A caller that does not read its stream: the gateway stops reading from the engine, which
+    // sees backpressure.
     let rig = Rig::new(1).await;
     let g = rig.gateway("vm-1", "").await;
     let address = g.url.strip_prefix("http://").expect("it is HTTP");
