--- a/crates/limehollow-controller/tests/processes.rs
+++ b/crates/limehollow-controller/tests/processes.rs
@@ -1,7 +1,8 @@
-//! Controllers as real processes before stand-ins: kills, freezes, an outage of the log.
+//! Controller processes against a stand-in platform and stand-in engines: a killed holder of the lease, a
+//! suspended holder, an outage of the log.
 //!
-//! Waits are long and only bound how long a failure takes to show; the checks are on what the engines
-//! did and on the log.
+//! The checks are on the engines' histories and on the log. Timeouts are long, as they only bound the time
+//! after which a failing test ends.
 
 use limehollow::fleet::Fleet;
 use limehollow::id::Offset;
@@ -21,7 +22,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-const LONG: Duration = Duration::from_secs(60);
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 const CAPACITY: u64 = 100;
 
 struct Controller {
@@ -46,7 +47,7 @@
         let status = Command::new("kill")
             .args([&format!("-{name}"), &pid])
             .status();
-        assert!(status.expect("kill is there").success());
+        assert!(status.expect("the kill command runs").success());
     }
 
     async fn dump(&self) -> Option<Value> {
@@ -62,8 +63,8 @@
     b.build().expect("an HTTP client")
 }
 
-/// One zone with two engines, of which one checks fencing numbers, and two controllers.
-struct Rig {
+/// A zone with two controllers and two engines, one of which checks fencing numbers.
+struct TestZone {
     platform: String,
     engines: Vec<String>,
     controllers: Vec<Controller>,
@@ -71,7 +72,7 @@
     replay: Replay,
 }
 
-impl Rig {
+impl TestZone {
     async fn new() -> Self {
         let platform = free_address();
         let engines = vec![free_address(), free_address()];
@@ -109,13 +110,13 @@
             tokio::spawn(Engine::new(settings, 1).serve());
         }
         let log = HttpLog::new(&platform).expect("an HTTP client");
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + WAIT_LIMIT;
         while log.read(STREAM, 0, 1, Duration::ZERO).await.is_err() {
-            assert!(Instant::now() < end, "the platform does not answer");
+            assert!(Instant::now() < end, "the platform doesn't answer");
             sleep(Duration::from_millis(10)).await;
         }
         let controllers = Vec::new();
-        let mut rig = Self {
+        let mut zone = Self {
             platform,
             engines,
             controllers,
@@ -123,10 +124,10 @@
             replay: Replay::default(),
         };
         for (n, peer) in peers.iter().enumerate() {
-            let c = rig.controller(&format!("vm-{n}"), peer, &[]);
-            rig.controllers.push(c);
+            let c = zone.controller(&format!("vm-{n}"), peer, &[]);
+            zone.controllers.push(c);
         }
-        rig
+        zone
     }
 
     fn controller(&self, name: &str, peer: &str, seeds: &[&str]) -> Controller {
@@ -145,7 +146,7 @@
             .arg(&path)
             .stderr(Stdio::null())
             .spawn()
-            .expect("it was built");
+            .expect("the controller starts");
         let (name, peer) = (name.to_owned(), peer.to_owned());
         Controller {
             child,
@@ -156,12 +157,12 @@
         }
     }
 
-    /// Reads the log on until a question has an answer.
-    async fn until<F, T>(&mut self, what: &str, mut f: F) -> T
+    /// Reads the log until `f` returns a value for the fleet.
+    async fn wait_until<F, T>(&mut self, what: &str, mut f: F) -> T
     where
         F: FnMut(&Fleet) -> Option<T>,
     {
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + WAIT_LIMIT;
         loop {
             let from = self.replay.next_to_read();
             if let Ok(batch) = read(&self.log, from, Duration::from_millis(50)).await {
@@ -172,7 +173,7 @@
             if let Some(t) = f(self.replay.fleet()) {
                 return t;
             }
-            assert!(Instant::now() < end, "{what} did not come");
+            assert!(Instant::now() < end, "timed out waiting for {what}");
             sleep(Duration::from_millis(10)).await;
         }
     }
@@ -187,7 +188,7 @@
     }
 
     /// Publishes an intent and confirms its plan.
-    async fn confirm(&mut self, models: &[(&str, &str, u64)]) {
+    async fn publish_and_confirm(&mut self, models: &[(&str, &str, u64)]) {
         let models = models.iter().map(|(name, version, bytes)| ModelIntent {
             name: (*name).into(),
             version: (*version).into(),
@@ -205,7 +206,7 @@
         };
         let intent = self.append(&Record::Intent(intent)).await;
         let plan = self
-            .until("a plan", |f| {
+            .wait_until("a plan", |f| {
                 assert!(f.plan_refusal().is_none(), "{:?}", f.plan_refusal());
                 f.proposed_plan()
                     .filter(|p| p.plan.intent == intent)
@@ -220,16 +221,16 @@
         self.append(&Record::Answer(answer)).await;
     }
 
-    async fn first_order(&mut self) {
+    async fn wait_for_order(&mut self) {
         let after = self.replay.next_to_read();
-        self.until("an order", |f| {
+        self.wait_until("an order", |f| {
             f.orders().any(|(o, _)| o >= after).then_some(())
         })
         .await;
     }
 
-    async fn carried_out(&mut self) {
-        self.until("the end of the plan", |f| {
+    async fn wait_for_plan_completion(&mut self) {
+        self.wait_until("the end of the plan", |f| {
             let open = f.orders().any(|(_, o)| o.settled.is_none());
             let steps = f.plan_in_force().map_or(0, |p| p.plan.steps.len());
             let complete = f.missing_targets().next().is_none();
@@ -242,7 +243,7 @@
                 .get(url)
                 .send()
                 .await
-                .expect("it answers")
+                .expect("the request is answered")
                 .json()
                 .await
                 .expect("a history");
@@ -254,27 +255,27 @@
         }
     }
 
-    fn holder(&self) -> usize {
+    fn lease_holder_index(&self) -> usize {
         let lease = self
             .replay
             .fleet()
             .lease(&"a".into())
-            .expect("somebody holds it");
+            .expect("the zone's lease has a holder");
         let held = self
             .controllers
             .iter()
             .position(|c| c.name == lease.holder.as_str());
-        held.expect("it is one of ours")
+        held.expect("the holder is one of the controllers")
     }
 
-    async fn faults(&self, faults: &Value) {
+    async fn inject_faults(&self, faults: &Value) {
         let url = format!("http://{}/faults", self.platform);
         let res = client()
             .post(url)
             .json(faults)
             .send()
             .await
-            .expect("it answers");
+            .expect("the request is answered");
         assert!(res.status().is_success());
     }
 }
@@ -296,17 +297,17 @@
 
 #[tokio::test]
 async fn plan_in_force_everywhere() {
-    let mut rig = Rig::new().await;
-    rig.confirm(&FIRST).await;
-    rig.carried_out().await;
-    let in_force = rig
+    let mut zone = TestZone::new().await;
+    zone.publish_and_confirm(&FIRST).await;
+    zone.wait_for_plan_completion().await;
+    let in_force = zone
         .replay
         .fleet()
         .in_force_offset()
-        .expect("something is")
+        .expect("a plan is in force")
         .0;
-    for c in &rig.controllers {
-        let end = Instant::now() + LONG;
+    for c in &zone.controllers {
+        let end = Instant::now() + WAIT_LIMIT;
         let mut last = 0;
         loop {
             let now = c
@@ -314,12 +315,20 @@
                 .await
                 .and_then(|d| d["offset_in_force"].as_u64())
                 .unwrap_or(last);
-            assert!(now >= last, "{} went from {last} back to {now}", c.name);
+            assert!(
+                now >= last,
+                "{}: offset went back from {last} to {now}",
+                c.name
+            );
             last = now;
             if last >= in_force {
                 break;
             }
-            assert!(Instant::now() < end, "{} did not get to {in_force}", c.name);
+            assert!(
+                Instant::now() < end,
+                "{} did not reach offset {in_force}",
+                c.name
+            );
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -327,66 +336,73 @@
 
 #[tokio::test]
 async fn holder_killed() {
-    let mut rig = Rig::new().await;
-    rig.confirm(&FIRST).await;
-    rig.first_order().await;
-    let i = rig.holder();
-    rig.controllers[i].child.kill().expect("it runs");
-    rig.carried_out().await;
-    assert_ne!(rig.holder(), i, "the other one took over");
+    let mut zone = TestZone::new().await;
+    zone.publish_and_confirm(&FIRST).await;
+    zone.wait_for_order().await;
+    let i = zone.lease_holder_index();
+    zone.controllers[i]
+        .child
+        .kill()
+        .expect("the controller runs");
+    zone.wait_for_plan_completion().await;
+    assert_ne!(
+        zone.lease_holder_index(),
+        i,
+        "the other controller takes the lease"
+    );
 }
 
 #[tokio::test]
 async fn holder_frozen_and_woken() {
-    let mut rig = Rig::new().await;
-    rig.confirm(&FIRST).await;
-    rig.carried_out().await;
-    rig.confirm(&SECOND).await;
-    rig.first_order().await;
-    let i = rig.holder();
-    rig.controllers[i].signal("STOP");
-    let name = rig.controllers[i].name.clone();
-    rig.until("a takeover", |f| {
+    let mut zone = TestZone::new().await;
+    zone.publish_and_confirm(&FIRST).await;
+    zone.wait_for_plan_completion().await;
+    zone.publish_and_confirm(&SECOND).await;
+    zone.wait_for_order().await;
+    let i = zone.lease_holder_index();
+    zone.controllers[i].signal("STOP");
+    let name = zone.controllers[i].name.clone();
+    zone.wait_until("a takeover", |f| {
         f.lease(&"a".into())
             .is_some_and(|l| l.holder.as_str() != name)
             .then_some(())
     })
     .await;
-    rig.controllers[i].signal("CONT");
-    rig.carried_out().await;
-    let served = rig.replay.fleet().ready_replicas("m").count();
+    zone.controllers[i].signal("CONT");
+    zone.wait_for_plan_completion().await;
+    let served = zone.replay.fleet().ready_replicas("m").count();
     assert!(served > 0);
 }
 
 #[tokio::test]
-async fn log_down_in_the_middle() {
-    let mut rig = Rig::new().await;
-    rig.confirm(&FIRST).await;
-    rig.first_order().await;
-    rig.faults(&json!({ "log_down": true, "members_down": true }))
+async fn log_outage_while_orders_run() {
+    let mut zone = TestZone::new().await;
+    zone.publish_and_confirm(&FIRST).await;
+    zone.wait_for_order().await;
+    zone.inject_faults(&json!({ "log_down": true, "members_down": true }))
         .await;
     sleep(Duration::from_secs(1)).await;
-    rig.faults(&json!({ "lose_append_answers": 2, "drop_appends": 1 }))
+    zone.inject_faults(&json!({ "lose_append_answers": 2, "drop_appends": 1 }))
         .await;
-    rig.carried_out().await;
+    zone.wait_for_plan_completion().await;
 }
 
 #[tokio::test]
 async fn born_while_log_is_down() {
-    let mut rig = Rig::new().await;
-    rig.confirm(&FIRST).await;
-    rig.carried_out().await;
-    let in_force = rig
+    let mut zone = TestZone::new().await;
+    zone.publish_and_confirm(&FIRST).await;
+    zone.wait_for_plan_completion().await;
+    let in_force = zone
         .replay
         .fleet()
         .in_force_offset()
-        .expect("something is")
+        .expect("a plan is in force")
         .0;
-    rig.faults(&json!({ "log_down": true, "members_down": true }))
+    zone.inject_faults(&json!({ "log_down": true, "members_down": true }))
         .await;
-    let seed = rig.controllers[0].peer.clone();
-    let c = rig.controller("vm-9", &free_address(), &[&seed]);
-    let end = Instant::now() + LONG;
+    let seed = zone.controllers[0].peer.clone();
+    let c = zone.controller("vm-9", &free_address(), &[&seed]);
+    let end = Instant::now() + WAIT_LIMIT;
     loop {
         let offset = c.dump().await.and_then(|d| d["offset_in_force"].as_u64());
         if offset.is_some_and(|o| o + 1 >= in_force) {
@@ -394,11 +410,11 @@
         }
         assert!(
             Instant::now() < end,
-            "it knows only {offset:?} of {in_force}"
+            "the controller is at offset {offset:?}, not at {in_force}"
         );
         sleep(Duration::from_millis(20)).await;
     }
-    // It shows readiness at its next tick.
+    // Readiness is updated at the controller's next tick.
     loop {
         let res = client()
             .get(format!("http://{}/readyz", c.admin))
@@ -407,24 +423,31 @@
         if res.is_ok_and(|r| r.status().is_success()) {
             break;
         }
-        assert!(Instant::now() < end, "it knows the state and isn't ready");
+        assert!(
+            Instant::now() < end,
+            "the controller has the state and isn't ready"
+        );
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[tokio::test]
-async fn stops_when_told() {
-    let mut rig = Rig::new().await;
-    rig.until("a lease", |f| f.lease(&"a".into()).map(|_| ()))
+async fn sigterm_stops_controller() {
+    let mut zone = TestZone::new().await;
+    zone.wait_until("a lease", |f| f.lease(&"a".into()).map(|_| ()))
         .await;
-    let mut c = rig.controllers.remove(0);
+    let mut c = zone.controllers.remove(0);
     c.signal("TERM");
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + WAIT_LIMIT;
     let status = loop {
-        if let Some(s) = c.child.try_wait().expect("it was started here") {
+        if let Some(s) = c
+            .child
+            .try_wait()
+            .expect("the controller is a child of the test")
+        {
             break s;
         }
-        assert!(Instant::now() < end, "it does not end");
+        assert!(Instant::now() < end, "the controller doesn't exit");
         sleep(Duration::from_millis(20)).await;
     };
     assert!(status.success());
