--- a/crates/limehollow-edge/tests/settings.rs
+++ b/crates/limehollow-edge/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files and command lines: what is wrong is named, with file, line and key.
+//! Errors of settings files name the file, the line and the key; errors of command lines name the option.
 
 use limehollow_edge::args::{Args, Parsed, Program};
 use limehollow_edge::logs::Format;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn parse_says_file_line_and_key() {
+fn parse_error_names_file_line_and_key() {
     let cases = [
         ("address = \"127.0.0.1:1\"\n", None),
         (
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn parse_broken_file() {
+fn parse_invalid_toml() {
     let e = parse::<Sample>("s.toml", "address = \n")
-        .expect_err("it has no value")
+        .expect_err("the key has no value")
         .to_string();
     assert!(e.starts_with("s.toml:1: address: "), "{e}");
 }
@@ -73,13 +73,13 @@
     about: "A sample.",
 };
 
-fn words(line: &str) -> Vec<OsString> {
+fn split_args(line: &str) -> Vec<OsString> {
     line.split_whitespace().map(OsString::from).collect()
 }
 
 #[test]
 fn args_run() {
-    let parsed = PROGRAM.parse(words(
+    let parsed = PROGRAM.parse(split_args(
         "-s a.toml --check --log-format json --log-level debug",
     ));
     let expected = Args {
@@ -88,7 +88,10 @@
         log_format: Format::Json,
         log_level: "debug".to_owned(),
     };
-    assert_eq!(parsed.expect("it is right"), Parsed::Run(expected));
+    assert_eq!(
+        parsed.expect("the command line is valid"),
+        Parsed::Run(expected)
+    );
 }
 
 #[test]
@@ -97,7 +100,7 @@
         ("--help", "sample 1.2.3\nA sample.\n"),
         ("-V", "sample 1.2.3\n"),
     ] {
-        let Ok(Parsed::Print(text)) = PROGRAM.parse(words(line)) else {
+        let Ok(Parsed::Print(text)) = PROGRAM.parse(split_args(line)) else {
             panic!("{line} prints")
         };
         assert!(text.starts_with(begins), "{text}");
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn args_wrong() {
+fn args_invalid() {
     let cases = [
         ("", "--settings FILE is missing; see --help"),
         ("--nothing", "invalid option '--nothing'; see --help"),
@@ -117,8 +120,8 @@
     ];
     for (line, why) in cases {
         let e = PROGRAM
-            .parse(words(line))
-            .expect_err("it is wrong")
+            .parse(split_args(line))
+            .expect_err("the command line is invalid")
             .to_string();
         assert_eq!(e, why, "{line}");
     }
