--- a/crates/limehollow-wire/src/claim.rs
+++ b/crates/limehollow-wire/src/claim.rs
@@ -1,4 +1,4 @@
-//! Batches of the claims stream, as JSON text with a schema version.
+//! Codec for the batches of the claims stream: JSON text with a schema version.
 
 use crate::error::{FieldSnafu, JsonSnafu, Result};
 use limehollow::claim::{ClaimRecord, Claimant, KeyHash};
@@ -19,7 +19,7 @@
     claims: Vec<WireClaim>,
 }
 
-/// One claim. The key is hexadecimal text, since JSON numbers don't carry 128 bits.
+/// One claim or release. The key is hexadecimal text, since JSON numbers can't represent 128 bits.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireClaim {
     key: SmolStr,
@@ -33,17 +33,17 @@
 
 impl From<&ClaimRecord> for WireClaim {
     fn from(r: &ClaimRecord) -> Self {
-        let (key, who, release) = match r {
+        let (key, claimant, release) = match r {
             ClaimRecord::Claim(k, c) => (k, c, false),
             ClaimRecord::Release(k, c) => (k, c, true),
         };
         let key = format_smolstr!("{key:032x}");
-        let (vm, at) = (who.vm.clone(), who.address.clone());
+        let (vm, at) = (claimant.vm.clone(), claimant.address.clone());
         Self {
             key,
             vm,
-            inc: who.incarnation,
-            num: who.number,
+            inc: claimant.incarnation,
+            num: claimant.number,
             at,
             release,
         }
@@ -61,39 +61,40 @@
             }
             .fail();
         };
-        let who = Claimant {
+        let claimant = Claimant {
             vm: w.vm,
             incarnation: w.inc,
             number: w.num,
             address: w.at,
         };
         Ok(if w.release {
-            Self::Release(key, who)
+            Self::Release(key, claimant)
         } else {
-            Self::Claim(key, who)
+            Self::Claim(key, claimant)
         })
     }
 }
 
-/// Writes a batch as text.
+/// Encodes a batch as JSON text.
 ///
 /// # Panics
 ///
-/// Never: the types have no value that JSON can't carry.
+/// Never panics: every value of these types can be written as JSON.
 #[must_use]
 pub fn encode(records: &[ClaimRecord]) -> String {
     let batch = Batch {
         v: SCHEMA,
         claims: records.iter().map(WireClaim::from).collect(),
     };
-    serde_json::to_string(&batch).expect("a batch has no unwritable value")
+    serde_json::to_string(&batch).expect("every claim batch can be written as JSON")
 }
 
-/// Reads a batch's text; nothing if it is of a version that this release doesn't know.
+/// Decodes the text of a batch. Returns `None` for a schema version that this release doesn't know.
 ///
 /// # Errors
 ///
-/// [`crate::Error`] says where the text is no batch, or which field is wrong.
+/// Returns [`crate::Error::Json`] with line and column if the text isn't a batch, and [`crate::Error::Field`] with the
+/// field's name if a field is invalid.
 pub fn decode(text: &str) -> Result<Option<Vec<ClaimRecord>>> {
     #[derive(Deserialize)]
     struct Head {
