--- a/crates/limehollow-wire/src/engine.rs
+++ b/crates/limehollow-wire/src/engine.rs
@@ -1,4 +1,4 @@
-//! What endpoints say and take, as JSON over HTTP (`docs/interfaces.md`).
+//! Messages to and from endpoints: headers, and JSON bodies over HTTP (`docs/interfaces.md`).
 
 use limehollow::id::{Incarnation, VmName};
 use limehollow::listing::Observation;
@@ -11,31 +11,31 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// The request header with which a stream is resumed: the number of tokens that were delivered.
+/// The request header that resumes a stream; its value is the number of tokens already delivered.
 pub const RESUME_FROM: &str = "x-engine-resume-from";
 /// The request header that carries a priority: `high`, `normal` or `low`.
 pub const PRIORITY: &str = "x-engine-priority";
-/// The header that an engine sets on an answer that it gives before running the request.
+/// The response header that an engine sets if it answered without running the request.
 pub const NOT_RUN: &str = "x-engine-not-run";
 
 /// The answer to `GET /state`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Differs at each start.
+    /// The endpoint's incarnation, which differs at each start.
     pub incarnation: Incarnation,
-    /// The accelerators; none on a plain service.
+    /// The endpoint's accelerators; empty for a plain service.
     #[serde(default)]
     pub accelerators: Vec<AcceleratorState>,
-    /// Requests at work.
+    /// The number of requests that are running.
     #[serde(default)]
     pub running: u32,
-    /// Requests that wait.
+    /// The number of requests that are waiting.
     #[serde(default)]
     pub waiting: u32,
-    /// How many requests can be at work at once.
+    /// The number of requests that can run concurrently.
     #[serde(default)]
     pub slots: u32,
-    /// Requests of each model, at work or waiting.
+    /// The number of requests of each model, running or waiting.
     #[serde(default)]
     pub running_by_model: BTreeMap<SmolStr, u32>,
 }
@@ -43,39 +43,39 @@
 /// One accelerator in a [`State`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceleratorState {
-    /// Its memory, in bytes.
+    /// The accelerator's memory, in bytes.
     pub capacity: u64,
-    /// Its models.
+    /// The models on the accelerator.
     pub models: Vec<ModelState>,
 }
 
 /// One model in an [`AcceleratorState`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelState {
-    /// Its name.
+    /// The model's name.
     pub name: SmolStr,
-    /// Its version.
+    /// The model's version.
     pub version: SmolStr,
-    /// Its memory, in bytes.
+    /// The memory that the model takes up, in bytes.
     pub bytes: u64,
-    /// What it is doing.
+    /// The model's phase.
     pub phase: Phase,
 }
 
-/// What a model on an engine is doing.
+/// The phase of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It is being loaded.
+    /// The model is being loaded.
     Loading,
-    /// It answers requests.
+    /// The model serves requests.
     Ready,
-    /// It is being unloaded.
+    /// The model is being unloaded.
     Unloading,
 }
 
 impl State {
-    /// Turns the answer into a look that began at that time.
+    /// Converts the answer to an observation of the endpoint that began at `began`.
     #[must_use]
     pub fn into_observation(self, endpoint: &VmName, began: Instant) -> Observation {
         let capacities = self.accelerators.iter().map(|a| a.capacity).collect();
@@ -131,11 +131,11 @@
 /// The body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireOrder {
-    /// The order's number, which is its fencing number too.
+    /// The order's number, which is also its fencing number.
     pub number: u64,
-    /// The accelerator.
+    /// The index of the accelerator.
     pub accelerator: u16,
-    /// What is to be done.
+    /// The action to perform.
     pub action: Action,
     /// The model's name.
     pub model: SmolStr,
@@ -158,14 +158,14 @@
     }
 }
 
-/// The body of `POST /fence`: from now on, refuse orders with a lower number.
+/// The body of `POST /fence`, after which the engine refuses orders with a lower number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    /// The number.
+    /// The lowest order number that is still accepted.
     pub number: u64,
 }
 
-/// The answer to a fence.
+/// The answer to `POST /fence`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fenced {
     /// The engine's incarnation.
