--- a/crates/limehollow-wire/src/gossip.rs
+++ b/crates/limehollow-wire/src/gossip.rs
@@ -1,4 +1,8 @@
-//! What the processes of a site say to each other by datagram: one version byte, then postcard.
+//! Gossip datagrams and state transfers between the VMs of a site.
+//!
+//! Each is one byte with the schema version, then a postcard message. Postcard encodes by position: the order of fields
+//! and variants is part of the format, their names are not. Points in time are sent as ages in milliseconds, since the
+//! clocks of VMs differ.
 
 use crate::error::{BinarySnafu, FieldSnafu, PackedSnafu, Result, VersionSnafu};
 use limehollow::backpressure::RateObservation;
@@ -22,69 +26,70 @@
 /// The schema version that this release writes and reads.
 pub const SCHEMA: u8 = 10;
 
-/// The largest state that is unpacked, in bytes: many times that of the largest deployment.
+/// The maximum decompressed size of a state, in bytes: many times the size of the largest deployment's state.
 const MAX_STATE: usize = 64 << 20;
 
-/// What a message speaks of.
+/// What a [`Message`] covers, and which VMs receive it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// The VM itself; it goes to the VMs of its zone.
+    /// The full update of the sending VM, for the VMs of its zone.
     #[default]
     Vm,
-    /// What has just changed of the VM itself; it goes to the VMs of its zone, and leaves what they know of the rest.
+    /// The latest changes of the sending VM, for the VMs of its zone. The rest of the receivers' state of that VM stays
+    /// as it is.
     Change,
-    /// All VMs of its zone; it goes to other zones.
+    /// The summary of all VMs of the sender's zone, for other zones.
     Zone,
-    /// Nothing but what the controller did.
+    /// Only what the controller did.
     News,
 }
 
-/// A change of the list of endpoints.
+/// A change to the list of endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ListChange {
-    /// An endpoint is there, or says something else of itself.
+    /// An endpoint was added, or its entry changed.
     Listed(Endpoint),
-    /// The endpoint with this id is off the list.
+    /// The endpoint with this ID was removed.
     Gone(SmolStr),
-    /// The entry with this id can't be read, and names no endpoint to use.
+    /// The entry with this ID can't be parsed, so it gives no usable endpoint.
     Unreadable(SmolStr),
 }
 
-/// Changes of the list of endpoints, for VMs that have read up to the first position.
+/// Changes to the list of endpoints, for VMs that have read it up to `from`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListChanges {
-    /// The position before them.
+    /// The position before the changes.
     pub from: LogPosition,
-    /// The position after them, of the same era.
+    /// The position after the changes, in the same era as `from`.
     pub to: LogPosition,
     /// The changes.
     pub changes: Vec<ListChange>,
 }
 
-/// What a VM that holds the lease, or has just resigned, says of it.
+/// The lease state, as sent by a VM that holds the lease or has just resigned it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseNotice {
     /// The VM.
     pub vm: SmolStr,
-    /// Its fencing number.
+    /// The fencing number of the lease.
     pub fence: u64,
-    /// Whether it holds the lease, or has just resigned.
+    /// Whether the VM holds the lease; `false` if it has just resigned it.
     pub holds: bool,
-    /// How long ago it gave its last order, in ms; none if it gave none.
+    /// The age of the VM's last order, in ms; `None` if it issued none.
     pub ordered_ms_ago: Option<u32>,
 }
 
-/// How fresh a copy is, in ages, since VMs' clocks differ.
+/// The freshness of a copy, as ages, since the clocks of VMs differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ages {
-    /// How long ago it was known to be complete, in ms.
+    /// The time since the copy was known to be complete, in ms.
     pub complete_ms: u32,
-    /// For how long the store has been sound, in ms.
+    /// The time for which the store has been healthy, in ms.
     pub sound_ms: u32,
 }
 
 impl Ages {
-    /// Gives the ages at this moment, rounded so that nobody takes the copy for fresher than it is.
+    /// Returns the ages at `now`, rounded so that a receiver never takes the copy for fresher than it is.
     #[must_use]
     pub fn at(now: Instant, f: Freshness) -> Self {
         Self {
@@ -93,19 +98,19 @@
         }
     }
 
-    /// Gives the freshness that was told at this moment.
+    /// Converts ages received at `now` to a freshness on the local clock.
     #[must_use]
     pub fn to_freshness(self, now: Instant) -> Freshness {
         Freshness::new(before(now, self.complete_ms), before(now, self.sound_ms))
     }
 }
 
-/// How fresh a process's copies are by its own reading; none where its last read failed, or it has read nothing.
+/// The freshness of a process's copies, by its own reads; `None` if its last read failed or it has read nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
-    /// The operators' configuration.
+    /// The freshness of the operators' configuration.
     pub configuration: Option<Ages>,
-    /// The list of endpoints.
+    /// The freshness of the list of endpoints.
     pub endpoints: Option<Ages>,
 }
 
@@ -114,12 +119,12 @@
 pub struct LastReader {
     /// The VM.
     pub vm: SmolStr,
-    /// How long ago its last read began, in ms.
+    /// The time since its last read began, in ms.
     pub read_ms_ago: u32,
 }
 
 impl LastReader {
-    /// Gives what is said of a read that began then.
+    /// Returns the entry to send at `now` for a read that began at `began`.
     #[must_use]
     pub fn at(now: Instant, vm: SmolStr, began: Instant) -> Self {
         Self {
@@ -128,92 +133,92 @@
         }
     }
 
-    /// Gives when the read began about that was told of at this moment.
+    /// Returns the approximate time at which the read began, for an entry received at `now`.
     #[must_use]
     pub fn read_began(&self, now: Instant) -> Instant {
         before(now, self.read_ms_ago)
     }
 }
 
-/// What one process tells others.
+/// A gossip message from one process to others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// For whom it is said.
+    /// What the message covers, and which VMs it is for.
     pub scope: Scope,
-    /// Whether who hears it passes it on inside its own zone.
+    /// Whether the receiver forwards the message within its own zone.
     pub forward: bool,
-    /// The name of the VM.
+    /// The name of the sending VM.
     pub from: SmolStr,
-    /// Its availability zone.
+    /// The availability zone of the sending VM.
     pub zone: SmolStr,
-    /// How many VMs it covers.
+    /// The number of VMs that the message covers.
     pub vms: u16,
-    /// Where its datagrams arrive, as `IP:PORT`.
+    /// The address at which the VM receives datagrams, as `IP:PORT`.
     pub address: SmolStr,
-    /// Its processor, in thousandths of a core.
+    /// The VM's CPU capacity, in thousandths of a core.
     pub millicores: u32,
-    /// Whether it can stand for the lease: it reaches the platform's store and isn't told to end.
+    /// Whether the VM can be a candidate for the lease: it reaches the platform's store and wasn't asked to shut down.
     pub reaches_store: bool,
-    /// Drawn anew by each start of the process, so that its messages are told from those of a former start without a
-    /// clock.
+    /// A random number drawn at each start of the process. It distinguishes its messages from those of an earlier start
+    /// without a clock.
     pub start: u64,
-    /// Rises with each message of one start of the process.
+    /// The message's sequence number, which increases with each message of one start of the process.
     pub number: u64,
-    /// Which part of what is taken this is, of so many.
+    /// The index of the part of `taken` that this message carries.
     pub part: u8,
-    /// Of how many parts.
+    /// The number of parts into which `taken` is split.
     pub parts: u8,
-    /// What its requests take at each endpoint.
+    /// The load that requests of the covered VMs place on each endpoint.
     pub taken: Vec<(Instance, Taken)>,
-    /// The endpoints that it could not reach lately; only for the VMs of its zone.
+    /// The endpoints that the VM failed to reach recently; sent only to the VMs of its zone.
     pub unreached: Vec<Instance>,
-    /// Starts of endpoints that are gone: another start answers at their address.
+    /// Endpoint instances that are gone, since another instance answers at their address.
     pub gone: Vec<Instance>,
-    /// Starts of endpoints that said in their answers that they leave.
+    /// Endpoint instances that announced in their answers that they are leaving.
     pub leaving: Vec<Instance>,
-    /// What its callers ask of each model, in ms of work a second.
+    /// The callers' demand for each model, in ms of work per second.
     pub demand: Vec<(ModelRef, f32)>,
-    /// What requests wait for that isn't loaded.
+    /// The models that requests wait for and that aren't loaded.
     pub requested_loads: Vec<ModelRef>,
-    /// Changes of the list that this VM read lately.
+    /// Changes to the list of endpoints that the VM read recently.
     pub list: Vec<ListChanges>,
-    /// What is known of the lease to give orders.
+    /// The state of the lease to issue orders, if known.
     pub lease: Option<LeaseNotice>,
-    /// What the controller knows of endpoints that changed lately.
+    /// The controller's reports of endpoints that changed recently.
     pub reports: Vec<HoldingsReport>,
-    /// How far it has read the configuration and the list of endpoints in the platform's store.
+    /// The positions up to which the VM has read the configuration and the list of endpoints in the platform's store.
     pub positions: Positions,
-    /// How fresh its copies are, by its own reading.
+    /// The freshness of the VM's copies, by its own reads.
     pub reading: Reading,
-    /// The VM that read the configuration last, itself or another, of all that it has heard of.
+    /// The VM with the latest known read of the configuration, which may be the sender itself.
     pub last_reader: Option<LastReader>,
-    /// Requests under which endpoints crashed, or that were cleared, lately.
+    /// Requests that recently crashed endpoints or were recently cleared.
     pub crashes: Vec<CrashRecord>,
-    /// The digest of all such requests that it knows.
+    /// The digest of all crash records that the VM knows.
     pub crashes_digest: u64,
-    /// How many VMs it knows of, this one too: limits are shared among so many.
+    /// The number of VMs that the sender knows, itself included. Limits are divided among this number of VMs.
     pub vms_known: u16,
-    /// Whether it can read the list of endpoints in the platform's store, as far as it has tried.
+    /// Whether the VM can read the list of endpoints in the platform's store, as far as its attempts have shown.
     pub reads_list: bool,
-    /// The limits that endpoints name, and those that have ended lately.
+    /// The rate limits that endpoints stated, and those that ended recently.
     pub rates: Vec<RateReport>,
 }
 
-/// The limit that an endpoint named, in ages, since VMs' clocks differ.
+/// A rate limit that an endpoint stated. Its times are ages, since the clocks of VMs differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateReport {
     /// The endpoint.
     pub instance: Instance,
-    /// Requests a second of all VMs together; none if it named no limit any more.
+    /// The limit in requests per second for all VMs together; `None` if the endpoint no longer states a limit.
     pub rate: Option<f64>,
-    /// How long ago the request was sent, in ms.
+    /// The time since the request was sent, in ms.
     pub sent_ms_ago: u32,
-    /// How long ago its answer was heard, in ms.
+    /// The time since its answer was received, in ms.
     pub received_ms_ago: u32,
 }
 
 impl RateReport {
-    /// Gives what is said of an endpoint at this moment.
+    /// Returns the report to send at `now` for an endpoint's rate limit.
     #[must_use]
     pub fn at(now: Instant, instance: Instance, w: RateObservation) -> Self {
         let ago = |t| millis(now.saturating_duration_since(t));
@@ -225,16 +230,17 @@
         }
     }
 
-    /// Gives the word that was told at this moment, by a message that may have been on its way for so long.
+    /// Converts a report received at `now` to an observation on the local clock.
     ///
-    /// What was on its way seems to have been said later than it was. The span in which it was written begins that much earlier, so that
-    /// nothing is taken for newer than it is.
+    /// The report may have been in transit for up to `transit`, which makes the endpoint's statement seem later than it
+    /// was. The interval in which the endpoint wrote it therefore begins earlier by `transit`, so that the observation
+    /// isn't taken for newer than it is.
     #[must_use]
     pub fn to_observation(&self, now: Instant, transit: Duration) -> RateObservation {
-        let asked = before(now, self.sent_ms_ago);
+        let sent_at = before(now, self.sent_ms_ago);
         RateObservation {
             rate: self.rate,
-            sent_at: asked.checked_sub(transit).unwrap_or(asked),
+            sent_at: sent_at.checked_sub(transit).unwrap_or(sent_at),
             received_at: before(now, self.received_ms_ago),
         }
     }
@@ -249,189 +255,190 @@
     now.checked_sub(ago).unwrap_or(now)
 }
 
-/// What one VM asks of another by datagram, to be answered at once.
+/// A query to another VM, to be answered immediately.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Query {
-    /// Names the question in its answer.
+    /// The query's number, which the answer repeats.
     pub number: u64,
-    /// What is asked.
+    /// What the query asks for.
     pub body: QueryBody,
 }
 
-/// What a VM says of itself to one that doesn't know it.
+/// A VM's description of itself for a VM that doesn't know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
-    /// Its name.
+    /// The name of the VM.
     pub name: SmolStr,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: SmolStr,
-    /// Where its datagrams arrive, as `IP:PORT`.
+    /// The address at which the VM receives datagrams, as `IP:PORT`.
     pub address: SmolStr,
-    /// Its processor, in thousandths of a core.
+    /// The VM's CPU capacity, in thousandths of a core.
     pub millicores: u32,
 }
 
-/// A VM that another one knows.
+/// An entry of [`Members`]: a VM that the sender knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The VM.
     pub vm: Introduction,
-    /// Whether the platform's store shows it.
+    /// Whether the platform's store lists the VM.
     pub is_listed: bool,
 }
 
-/// The VMs that one VM knows, itself too.
+/// The VMs that one VM knows, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// The VMs.
     pub vms: Vec<Member>,
-    /// Whether it has read all that the store shows, or heard from one that has.
+    /// Whether the list holds all VMs in the store: the sender has read them all, or received them from a VM that has.
     pub has_all: bool,
 }
 
-/// What a question is about.
+/// What a [`Query`] asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum QueryBody {
-    /// How old the other's configuration is at most.
+    /// The position and the maximum age of the receiver's configuration.
     Configuration,
-    /// From whom this VM, which has just started, gets the site's state.
+    /// The VM from which the sender, which has just started, can fetch the site's state.
     Start(Introduction),
-    /// Tokens of a limit for a request.
+    /// Tokens of a rate limit, for a request.
     Tokens {
-        /// Whose limit.
+        /// The subject of the limit.
         subject: Subject,
-        /// How many.
+        /// The number of tokens.
         tokens: f64,
     },
-    /// Where a job goes; the other keeps the places of its endpoints.
+    /// An endpoint for a job. The receiver coordinates the endpoints of the job's model.
     Assignment {
         /// The job.
         job: Job,
-        /// Endpoints that were tried already.
+        /// Endpoints that were already tried.
         tried: Vec<Instance>,
     },
-    /// What the other has earned of these limits.
+    /// The tokens of these limits that the receiver has earned and hands over to the sender.
     Earnings {
-        /// The VM that keeps their pools.
+        /// The VM that coordinates the limits' pools.
         coordinator: SmolStr,
-        /// How many VMs that one knows of.
+        /// The number of VMs that the coordinator knows.
         vms_known: u16,
-        /// Whose limits.
+        /// The subjects of the limits.
         subjects: Vec<Subject>,
     },
 }
 
-/// Where a job goes.
+/// The endpoint assigned to a job, or the reason why there is none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Assignment {
-    /// To this endpoint, which is expected to give a first result after so many ms.
+    /// The endpoint, and the expected time to its first result, in ms.
     Endpoint(Instance, f32),
-    /// All that hold its model have too many prompts to read; the first result would come after so many ms.
+    /// All endpoints that hold the model have too many prompts to process; the expected time to a first result, in ms.
     Overloaded(f32),
-    /// The VM that was asked knows of no endpoint.
+    /// The queried VM knows no endpoint for the job.
     NoEndpoint,
 }
 
-/// The answer to a question.
+/// The answer to a [`Query`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The question's number.
+    /// The number of the query.
     pub number: u64,
-    /// What is said.
+    /// The content of the answer.
     pub reply: Reply,
 }
 
-/// What is answered.
+/// The content of an [`Answer`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// How far the configuration was read, and how long ago it was known to be the newest, in ms; none if it isn't known.
+    /// The position of the configuration and its age.
     Configuration {
-        /// The position.
+        /// The position up to which the configuration was read.
         position: LogPosition,
-        /// The age.
+        /// The time since the configuration was known to be the newest, in ms; `None` if that isn't known.
         confirmed_ms: Option<u32>,
-        /// How many VMs the other knows of.
+        /// The number of VMs that the sender of the answer knows.
         vms_known: u16,
     },
-    /// The VM that hands the state over, as the address of its datagrams; none for the one that was asked.
+    /// The datagram address of the VM from which to fetch the state; `None` if it is the queried VM itself.
     Parent(Option<SocketAddr>),
-    /// The tokens were taken out of the pool for who asked.
+    /// The tokens were taken from the pool for the VM that sent the query.
     Granted,
-    /// The pool has too few; in how many ms it has enough.
+    /// The pool has too few tokens; the time until it has enough, in ms.
     Short(u32),
-    /// Another VM keeps the pool, as far as this one knows.
+    /// The queried VM isn't the coordinator of the pool, as far as it knows.
     NotCoordinator,
-    /// Where the job goes.
+    /// The assignment of the job.
     Assignment(Assignment),
-    /// What was handed over of each limit, in the order of the question; none where another VM keeps the pool.
+    /// The tokens handed over for each limit, in the order of the query; `None` where another VM coordinates the pool.
     Earnings(Vec<Option<f64>>),
 }
 
 /// A datagram between VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// What a VM tells others several times a second.
+    /// A gossip message, sent several times per second.
     Message(Box<Message>),
-    /// A question.
+    /// A query.
     Query(Query),
     /// An answer.
     Answer(Answer),
 }
 
-/// How far a process has read what it follows.
+/// The positions up to which a process has read the feeds that it follows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Positions {
-    /// The operators' configuration.
+    /// The position in the operators' configuration.
     pub configuration: LogPosition,
-    /// The list of endpoints.
+    /// The position in the list of endpoints.
     pub endpoints: LogPosition,
 }
 
-/// What a process has read of the platform's store, for one that can't read it.
+/// A copy of what a process has read from the platform's store, for a process that can't read the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// How far it has read.
+    /// The positions up to which the sender has read.
     pub positions: Positions,
-    /// How fresh that is, by its own reading or another VM's.
+    /// The freshness of the copy, by the sender's own reads or another VM's.
     pub reading: Reading,
     /// The configuration in force.
     pub catalog: Option<Catalog>,
-    /// The endpoints, without those whose removal is held back: who takes this in decides on them by itself, and
-    /// would never hear of a removal that came before these positions.
+    /// The endpoints, without those whose removal is held back. The receiver decides on removals by itself, and would
+    /// never receive a removal that precedes these positions.
     pub endpoints: Vec<Endpoint>,
-    /// The ids whose entries can't be read.
+    /// The IDs of entries that can't be parsed.
     pub unreadable: Vec<SmolStr>,
-    /// The zones that are evacuated.
+    /// The evacuated zones.
     pub evacuated: Vec<ZoneName>,
     /// The VMs of the site.
     pub members: Members,
 }
 
-/// Writes a state.
+/// Encodes and compresses a state.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Binary`] if the state can't be written.
+/// Returns [`crate::Error::Binary`] if the state can't be encoded.
 pub fn encode_state(s: &State) -> Result<Vec<u8>> {
     let plain = postcard::to_stdvec(s).context(BinarySnafu { len: 0_usize })?;
-    // The same names stand in it thousands of times.
+    // The state is compressed because it repeats the same names thousands of times.
     let mut out = vec![SCHEMA];
     out.extend(lz4_flex::compress_prepend_size(&plain));
     Ok(out)
 }
 
-/// Reads a state.
+/// Decompresses and decodes a state.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Version`], [`crate::Error::Binary`], or [`crate::Error::Packed`], [`crate::Error::Field`] if it is too large.
+/// Returns [`crate::Error::Version`] for another schema version, [`crate::Error::Packed`] if the state can't be
+/// decompressed, [`crate::Error::Field`] if it is too large, and [`crate::Error::Binary`] if it can't be decoded.
 pub fn decode_state(bytes: &[u8]) -> Result<State> {
     let packed = body(bytes)?;
     let (plain_len, _) = lz4_flex::block::uncompressed_size(packed).context(PackedSnafu)?;
     if plain_len > MAX_STATE {
         return FieldSnafu {
             field: "state",
-            why: "is larger than any site's",
+            why: "exceeds the maximum decompressed size",
         }
         .fail();
     }
@@ -439,61 +446,64 @@
     postcard::from_bytes(&plain).context(BinarySnafu { len: bytes.len() })
 }
 
-/// Writes the VMs that one knows.
+/// Encodes the list of the VMs that a VM knows.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Binary`] if they can't be written.
+/// Returns [`crate::Error::Binary`] if they can't be encoded.
 pub fn encode_members(m: &Members) -> Result<Vec<u8>> {
     postcard::to_extend(m, vec![SCHEMA]).context(BinarySnafu { len: 0_usize })
 }
 
-/// Reads the VMs that another one knows.
+/// Decodes the list of the VMs that another VM knows.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Version`] or [`crate::Error::Binary`].
+/// Returns [`crate::Error::Version`] for another schema version, and [`crate::Error::Binary`] if the bytes can't be
+/// decoded.
 pub fn decode_members(bytes: &[u8]) -> Result<Members> {
     postcard::from_bytes(body(bytes)?).context(BinarySnafu { len: bytes.len() })
 }
 
-/// Writes records of requests under which endpoints crashed.
+/// Encodes records of requests that crashed endpoints.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Binary`] if they can't be written.
+/// Returns [`crate::Error::Binary`] if they can't be encoded.
 pub fn encode_crashes(records: &[CrashRecord]) -> Result<Vec<u8>> {
     postcard::to_extend(records, vec![SCHEMA]).context(BinarySnafu { len: 0_usize })
 }
 
-/// Reads records of requests under which endpoints crashed.
+/// Decodes records of requests that crashed endpoints.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Version`] or [`crate::Error::Binary`].
+/// Returns [`crate::Error::Version`] for another schema version, and [`crate::Error::Binary`] if the bytes can't be
+/// decoded.
 pub fn decode_crashes(bytes: &[u8]) -> Result<Vec<CrashRecord>> {
     postcard::from_bytes(body(bytes)?).context(BinarySnafu { len: bytes.len() })
 }
 
-/// Writes a datagram.
+/// Encodes a datagram.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Binary`] if it can't be written.
+/// Returns [`crate::Error::Binary`] if it can't be encoded.
 pub fn encode(w: &Datagram) -> Result<Vec<u8>> {
     postcard::to_extend(w, vec![SCHEMA]).context(BinarySnafu { len: 0_usize })
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Version`] or [`crate::Error::Binary`].
+/// Returns [`crate::Error::Version`] for another schema version, and [`crate::Error::Binary`] if the bytes can't be
+/// decoded.
 pub fn decode(bytes: &[u8]) -> Result<Datagram> {
     postcard::from_bytes(body(bytes)?).context(BinarySnafu { len: bytes.len() })
 }
 
-/// Gives what follows the version byte, if this release reads that version.
+/// Returns the bytes after the version byte, if this release supports that version.
 fn body(bytes: &[u8]) -> Result<&[u8]> {
     let (version, rest) = bytes.split_first().unwrap_or((&0, &[]));
     if *version != SCHEMA {
