--- a/crates/limehollow-wire/src/lib.rs
+++ b/crates/limehollow-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Log records and messages of limehollow, with their codecs.
+//! Log records and messages that limehollow processes exchange, with their codecs.
 //!
-//! Types that cross a process's edge are defined here, apart from the types that decide, so that a
-//! change of a decision can't change a format by accident. Each format carries a schema version; a
-//! reader keeps going past what it can't read and counts it (`docs/interfaces.md`).
+//! Types that are sent or stored are defined in this crate, apart from the types of the decision logic, so that a
+//! change to that logic can't change a format by accident. Each format carries a schema version. A reader skips what
+//! it can't read, and counts it (`docs/interfaces.md`).
 //!
 //! ```
 //! use limehollow::record::{Content, LeaseTaken, Record};
