--- a/crates/limehollow-wire/src/peer.rs
+++ b/crates/limehollow-wire/src/peer.rs
@@ -1,4 +1,7 @@
-//! Messages between limehollow's own processes: one version byte, then postcard.
+//! Messages between limehollow's own processes, the gateways and the controllers: one byte with the schema version, then
+//! a postcard message.
+//!
+//! Postcard encodes by position: the order of fields and variants is part of the format, their names are not.
 
 use crate::error::{BinarySnafu, FieldSnafu, Result, VersionSnafu};
 use limehollow::id::{Incarnation, Offset, VmName};
@@ -12,23 +15,23 @@
 /// The schema version that this release writes and reads.
 pub const SCHEMA: u8 = 1;
 
-/// The longest name of a VM in a message, in bytes.
+/// The maximum length of a VM's name in a message, in bytes.
 pub const MAX_NAME: usize = 128;
 
-/// What one process asks of another.
+/// A request from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// A controller passes on what it has heard.
+    /// A controller forwards what it has received.
     Gossip(Digest),
-    /// A process that starts asks for the state, since the log may be out of reach.
+    /// A starting process fetches the state, since the log may be unreachable.
     State,
-    /// A gateway asks the controller of its VM for news, and says what it had to refuse lately.
+    /// A gateway fetches updates from the controller of its VM, and reports the demand that it recently refused.
     News(Vec<WireUnmet>),
-    /// A gateway asks another what became of a claim of its own.
+    /// A gateway queries the state of a request that another gateway claimed.
     Claim {
-        /// The incarnation that claimed.
+        /// The incarnation of the gateway that made the claim.
         incarnation: Incarnation,
-        /// The gateway's number for the request.
+        /// The number that the claiming gateway gave to the request.
         number: u64,
     },
 }
@@ -36,67 +39,67 @@
 /// The answer to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The message was taken in; what the answering controller has heard.
+    /// The digest was applied; carries what the answering controller has received.
     Gossip(Digest),
-    /// The state up to an offset, as a snapshot record's text; nothing if there is none yet.
+    /// The state up to an offset, as the text of a snapshot record; `None` if there is no state yet.
     State(Option<String>),
-    /// News for a gateway.
+    /// Updates for a gateway.
     News(News),
-    /// What became of a claim.
+    /// The state of a claimed request.
     Claim(ClaimFate),
 }
 
-/// What one controller tells another.
+/// The gossip that controllers exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Heartbeats.
+    /// Heartbeats of VMs.
     pub heartbeats: Vec<WireHeartbeat>,
-    /// Reports of endpoints' load.
+    /// Load reports of endpoints.
     pub loads: Vec<WireLoad>,
-    /// Endpoints that are on their way out.
+    /// Endpoints that are leaving.
     pub leaving: Vec<SmolStr>,
-    /// What gateways of the zone had to refuse.
+    /// The demand that gateways of the zone refused.
     pub unmet: Vec<WireUnmet>,
 }
 
-/// What a gateway had to refuse of one model.
+/// The demand for one model that a gateway refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireUnmet {
-    /// The gateway's VM; empty in the gateway's own word.
+    /// The gateway's VM; empty in the report that the gateway itself sends.
     pub vm: SmolStr,
     /// The model.
     pub model: SmolStr,
-    /// Requests in a thousand seconds.
+    /// The rate of refused requests, in requests per 1,000 seconds.
     pub rate: u32,
-    /// How old the word was when the message was written, in milliseconds.
+    /// The age of the report when the message was encoded, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a controller tells a gateway.
+/// Updates from a controller to a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
     /// The next offset that the controller will read.
     pub next: u64,
-    /// Reports of endpoints' load.
+    /// Load reports of endpoints.
     pub loads: Vec<WireLoad>,
-    /// Endpoints that are on their way out.
+    /// Endpoints that are leaving.
     pub leaving: Vec<SmolStr>,
 }
 
-/// What became of a claim.
+/// The state of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimFate {
-    /// The gateway doesn't know it: it is another incarnation, or has forgotten.
+    /// The gateway doesn't know the claim: it has another incarnation, or no longer remembers the claim.
     Unknown,
-    /// The request never left the gateway and never will; its claim is being released.
+    /// The request wasn't sent and never will be; its claim is being released.
     NeverSent,
-    /// The request is under way.
+    /// The request is running.
     Running,
-    /// The request is done; the result is remembered.
+    /// The request is done, and the gateway still has its result.
     Done {
         /// The status code.
         status: u16,
-        /// The headers that are passed through.
+        /// The headers that are forwarded to the caller.
         headers: Vec<(String, String)>,
         /// The body.
         body: Vec<u8>,
@@ -143,9 +146,9 @@
 pub struct WireLoad {
     /// The endpoint.
     pub vm: SmolStr,
-    /// Its incarnation.
+    /// The endpoint's incarnation.
     pub incarnation: u64,
-    /// How old the report was when the message was written, in milliseconds.
+    /// The age of the report when the message was encoded, in milliseconds.
     pub age_ms: u32,
     running: u32,
     waiting: u32,
@@ -153,7 +156,7 @@
 }
 
 impl WireLoad {
-    /// Makes the message's form of a report.
+    /// Creates the encodable form of a load report.
     #[must_use]
     pub fn new(vm: &VmName, incarnation: Incarnation, age_ms: u32, r: LoadReport) -> Self {
         let vm = vm.as_str().into();
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Gives the report.
+    /// Returns the load report.
     #[must_use]
     pub fn report(&self) -> LoadReport {
         LoadReport {
@@ -189,25 +192,26 @@
     Ok(VmName::from(s.as_str()))
 }
 
-/// Writes a message.
+/// Encodes a message.
 ///
 /// # Panics
 ///
-/// Never: the types have no value that can't be written.
+/// Never panics: every value of the message types can be encoded.
 #[must_use]
 pub fn encode<T>(msg: &T) -> Vec<u8>
 where
     T: Serialize,
 {
     let buf = vec![SCHEMA];
-    postcard::to_extend(msg, buf).expect("a message has no unwritable value")
+    postcard::to_extend(msg, buf).expect("every message can be encoded as postcard")
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Version`] for another version, [`crate::Error::Binary`] for bytes that aren't a message.
+/// Returns [`crate::Error::Version`] for another schema version, and [`crate::Error::Binary`] if the bytes can't be
+/// decoded.
 pub fn decode<T>(buf: &[u8]) -> Result<T>
 where
     T: DeserializeOwned,
