--- a/crates/limehollow-wire/src/platform.rs
+++ b/crates/limehollow-wire/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform's services say, as JSON over HTTP (`docs/interfaces.md`).
+//! Messages of the platform's services, such as the log and the membership list: JSON over HTTP (`docs/interfaces.md`).
 
 use crate::error::{FieldSnafu, Result};
 use limehollow::id::{ServiceName, VmName, ZoneName};
@@ -9,7 +9,7 @@
 /// The body of `POST /log/STREAM/append`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// The records, appended together and in this order.
+    /// The records, which are appended together and in this order.
     pub records: Vec<String>,
 }
 
@@ -23,29 +23,29 @@
 /// The answer to `GET /log/STREAM/read?from=N&limit=N&wait_ms=N`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Records {
-    /// The lowest offset that is still kept.
+    /// The lowest offset that the log still retains.
     pub first: u64,
-    /// The offset that the next append will get.
+    /// The offset of the next record to be appended.
     pub next: u64,
     /// The records.
     pub records: Vec<LogRecord>,
 }
 
-/// One record as the log keeps it.
+/// A record as stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its offset.
+    /// The record's offset.
     pub offset: u64,
-    /// The log's time of the append, in milliseconds.
+    /// The time of the append by the log's clock, in milliseconds.
     pub at_ms: u64,
-    /// Its text.
+    /// The record's text.
     pub data: String,
 }
 
 /// The answer to `GET /members`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// The rows.
+    /// The rows of the membership list.
     pub members: Vec<Member>,
 }
 
@@ -55,19 +55,19 @@
 pub struct Member {
     /// The VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// The VM's availability zone.
     pub zone: ZoneName,
-    /// Where it listens, as `IP:PORT`.
+    /// The address on which the VM listens, as `IP:PORT`.
     pub address: SmolStr,
-    /// `entry`, `engine` or `service`.
+    /// The kind of the VM: `entry`, `engine` or `service`.
     pub kind: SmolStr,
-    /// Whether it is on its way out.
+    /// Whether the VM is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// For an engine, whether it refuses orders with an old fencing number.
+    /// For an engine, whether it refuses orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// For a plain service, its name.
+    /// For a plain service, the name of the service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceName>,
 }
@@ -104,11 +104,11 @@
     }
 }
 
-/// The body of `POST /weights/load`, with which an engine fetches a model's weights.
+/// The body of `POST /weights/load`, with which an engine requests a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightLoad {
-    /// The model.
+    /// The model's name.
     pub model: SmolStr,
-    /// Its version.
+    /// The model's version.
     pub version: SmolStr,
 }
