--- a/crates/limehollow-wire/src/record.rs
+++ b/crates/limehollow-wire/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of the control stream, as JSON text with a schema version.
+//! Codec for the records of the control stream: JSON text with a schema version.
 
 use crate::error::{JsonSnafu, Result};
 use limehollow::fleet::Fleet;
@@ -19,14 +19,17 @@
 /// The schema version that this release writes.
 pub const SCHEMA: u16 = 1;
 
-/// The state up to an offset. The fleet's own form is its format: a release that changes it raises
-/// [`SCHEMA`], and older ones pass the snapshot over.
+/// The state up to an offset.
+///
+/// [`Fleet`]'s own serde form is the format: a release that changes [`Fleet`] raises [`SCHEMA`], and older releases
+/// skip the snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireSnapshot {
     next: Offset,
     fleet: Box<Fleet>,
 }
 
+/// Defines a wire type with the same fields as a core type, and the conversions in both directions.
 macro_rules! mirror {
     ($(#[$doc:meta])* $wire:ident of $core:path { $($field:ident: $ty:ty,)* }) => {
         $(#[$doc])*
@@ -153,7 +156,7 @@
     }
 }
 
-/// The body of a record; the field that names its kind is `rec`.
+/// The body of a record. The field `rec` holds its kind.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "rec", content = "body", rename_all = "snake_case")]
 enum Body {
@@ -172,6 +175,7 @@
     Snapshot(WireSnapshot),
 }
 
+/// The record kinds that this release reads; the names of the variants of [`Body`].
 const KINDS: [&str; 13] = [
     "intent",
     "intent_change",
@@ -201,11 +205,11 @@
     body: Body,
 }
 
-/// Writes a record as text.
+/// Encodes a record as JSON text.
 ///
 /// # Panics
 ///
-/// Never: the types have no value that JSON can't carry.
+/// Never panics: every value of these types can be written as JSON.
 #[must_use]
 pub fn encode(r: &Record) -> String {
     write(match r {
@@ -224,11 +228,11 @@
     })
 }
 
-/// Writes a snapshot as text.
+/// Encodes a snapshot of the fleet as JSON text.
 ///
 /// # Panics
 ///
-/// Never: the types have no value that JSON can't carry.
+/// Never panics: every value of these types can be written as JSON.
 #[must_use]
 pub fn encode_snapshot(fleet: &Fleet) -> String {
     let next = fleet.next_offset();
@@ -239,15 +243,16 @@
 }
 
 fn write(body: Body) -> String {
-    serde_json::to_string(&Envelope { v: SCHEMA, body }).expect("a record has no unwritable value")
+    serde_json::to_string(&Envelope { v: SCHEMA, body })
+        .expect("every record can be written as JSON")
 }
 
-/// Reads a record's text.
+/// Decodes the text of a record.
 ///
 /// # Errors
 ///
-/// [`crate::Error::Json`] with line and column if the text isn't a record. A record of an unknown
-/// kind or version is no error but [`Content::Unknown`].
+/// Returns [`crate::Error::Json`] with line and column if the text isn't a record. A record of an unknown kind or
+/// schema version isn't an error: it decodes to [`Content::Unknown`].
 pub fn decode(text: &str) -> Result<Content> {
     let head: Head = serde_json::from_str(text).context(JsonSnafu)?;
     if head.v != SCHEMA || !KINDS.contains(&head.rec.as_str()) {
