--- a/crates/limehollow-wire/tests/codecs.rs
+++ b/crates/limehollow-wire/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Codecs: what is written is read again, and what can't be read is no catastrophe.
+//! Tests that the codecs decode what they encode, and that invalid input gives an error instead of a panic.
 
 use bolero::check;
 use limehollow::claim::{ClaimRecord, Claimant};
@@ -12,7 +12,7 @@
 use limehollow_wire::{claim, peer, record};
 
 #[test]
-fn record_roundtrip_and_form() {
+fn record_roundtrip_and_text() {
     let lease = LeaseTaken {
         zone: "a".into(),
         holder: "vm-1".into(),
@@ -21,10 +21,10 @@
     };
     let r = Record::LeaseTaken(lease);
     let text = record::encode(&r);
-    let form = r#"{"v":1,"rec":"lease_taken","body":{"zone":"a","holder":"vm-1","incarnation":7,"replaces":3}}"#;
-    assert_eq!(text, form);
+    let expected = r#"{"v":1,"rec":"lease_taken","body":{"zone":"a","holder":"vm-1","incarnation":7,"replaces":3}}"#;
+    assert_eq!(text, expected);
     assert_eq!(
-        record::decode(&text).expect("it was written here"),
+        record::decode(&text).expect("encoded by the same release"),
         Content::Record(r)
     );
     let answer = Answer {
@@ -34,7 +34,7 @@
     };
     let r = Record::Answer(answer);
     assert_eq!(
-        record::decode(&record::encode(&r)).expect("so was this"),
+        record::decode(&record::encode(&r)).expect("encoded by the same release"),
         Content::Record(r)
     );
 }
@@ -42,7 +42,7 @@
 #[test]
 fn record_snapshot_roundtrip() {
     let text = record::encode_snapshot(&Fleet::default());
-    let content = record::decode(&text).expect("it was written here");
+    let content = record::decode(&text).expect("encoded by the same release");
     assert_eq!(
         content,
         Content::Snapshot {
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn record_of_another_release() {
+fn record_of_unknown_version_or_kind() {
     for text in [
         r#"{"v":2,"rec":"lease_taken","body":{"something":"else"}}"#,
         r#"{"v":1,"rec":"not_yet_invented","body":{}}"#,
     ] {
         assert_eq!(
-            record::decode(text).expect("it is passed over"),
+            record::decode(text).expect("an unknown version or kind is no error"),
             Content::Unknown,
             "{text}"
         );
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn record_broken_says_where() {
+fn record_error_has_line_and_column() {
     let e = record::decode("{\"v\":1,\n\"rec\":")
-        .expect_err("it breaks off")
+        .expect_err("the record is truncated")
         .to_string();
     assert!(e.starts_with("line 2, column 6: "), "{e}");
 }
@@ -77,24 +77,26 @@
 #[test]
 fn claim_roundtrip() {
     let address = "127.0.0.1:1".into();
-    let who = Claimant {
+    let claimant = Claimant {
         vm: "vm-1".into(),
         incarnation: 3,
         number: 4,
         address,
     };
     let batch = [
-        ClaimRecord::Claim(u128::MAX, who.clone()),
-        ClaimRecord::Release(5, who),
+        ClaimRecord::Claim(u128::MAX, claimant.clone()),
+        ClaimRecord::Release(5, claimant),
     ];
-    let back = claim::decode(&claim::encode(&batch)).expect("it was written here");
-    assert_eq!(back.as_deref(), Some(&batch[..]));
+    let decoded = claim::decode(&claim::encode(&batch)).expect("encoded by the same release");
+    assert_eq!(decoded.as_deref(), Some(&batch[..]));
     assert_eq!(
-        claim::decode(r#"{"v":9}"#).expect("it is passed over"),
+        claim::decode(r#"{"v":9}"#).expect("an unknown version or kind is no error"),
         None
     );
-    let bad = r#"{"v":1,"claims":[{"key":"xyz","vm":"v","inc":1,"num":1,"at":""}]}"#;
-    let e = claim::decode(bad).expect_err("the key is none").to_string();
+    let invalid = r#"{"v":1,"claims":[{"key":"xyz","vm":"v","inc":1,"num":1,"at":""}]}"#;
+    let e = claim::decode(invalid)
+        .expect_err("the key isn't hexadecimal")
+        .to_string();
     assert_eq!(e, "key: must be 32 hexadecimal digits");
 }
 
@@ -102,12 +104,12 @@
 fn peer_version_is_checked() {
     let mut buf = peer::encode(&Request::State);
     assert_eq!(
-        peer::decode::<Request>(&buf).expect("it was written here"),
+        peer::decode::<Request>(&buf).expect("encoded by the same release"),
         Request::State
     );
     buf[0] = 9;
     let e = peer::decode::<Request>(&buf)
-        .expect_err("another version")
+        .expect_err("the version is unknown")
         .to_string();
     assert_eq!(e, "schema version 9 is not known; this release reads 1");
     assert!(peer::decode::<Request>(&[]).is_err());
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn any_bytes_are_no_catastrophe() {
+fn arbitrary_bytes_do_not_panic() {
     check!()
         .with_iterations(20_000)
         .with_type::<Vec<u8>>()
