--- a/crates/limehollow-wire/src/peer.rs
+++ b/crates/limehollow-wire/src/peer.rs
@@ -1,5 +1,5 @@
-//! Messages between limehollow's own processes, the gateways and the controllers: one byte with the schema version, then
-//! a postcard message.
+//! Messages between limehollow's own processes, the gateways and the controllers: one byte with the schema version,
+//! then a postcard message.
 //!
 //! Postcard encodes by position: the order of fields and variants is part of the format, their names are not.
 
