--- a/crates/limehollow-controller/tests/processes.rs
+++ b/crates/limehollow-controller/tests/processes.rs
@@ -255,7 +255,7 @@
         }
     }
 
-    fn lease_holder_index(&self) -> usize {
+    fn holder_index(&self) -> usize {
         let lease = self
             .replay
             .fleet()
@@ -339,14 +339,14 @@
     let mut zone = TestZone::new().await;
     zone.publish_and_confirm(&FIRST).await;
     zone.wait_for_order().await;
-    let i = zone.lease_holder_index();
+    let i = zone.holder_index();
     zone.controllers[i]
         .child
         .kill()
         .expect("the controller runs");
     zone.wait_for_plan_completion().await;
     assert_ne!(
-        zone.lease_holder_index(),
+        zone.holder_index(),
         i,
         "the other controller takes the lease"
     );
@@ -359,7 +359,7 @@
     zone.wait_for_plan_completion().await;
     zone.publish_and_confirm(&SECOND).await;
     zone.wait_for_order().await;
-    let i = zone.lease_holder_index();
+    let i = zone.holder_index();
     zone.controllers[i].signal("STOP");
     let name = zone.controllers[i].name.clone();
     zone.wait_until("a takeover", |f| {
